--- a/src/adapters/peer_rpc_client.cpp
+++ b/src/adapters/peer_rpc_client.cpp
@@ -119,7 +119,7 @@
     parameters["digest"] = digest.hex();
     const Json::Value answer =
         call(wire::peer_method::configuration_part, parameters);
-    if (!json_flag(answer, "found"))
+    if (!json_bool(answer, "found"))
         return std::nullopt;
     return json_string(answer, "text");
 }
--- a/src/adapters/peer_wire.cpp
+++ b/src/adapters/peer_wire.cpp
@@ -17,14 +17,14 @@
 Enum
 enum_from_json(const Json::Value& value, const char* name, Enum last)
 {
-    const std::uint64_t number = json_number(value, name);
+    const std::uint64_t number = json_uint64(value, name);
     if (number > static_cast<std::uint64_t>(last))
         throw Error(ErrorCode::BadRequest, "a state out of range");
     return static_cast<Enum>(number);
 }
 
 Json::Value
-mark_to_json(const UpstreamMark& mark)
+mark_to_json(const LeavingMark& mark)
 {
     Json::Value value;
     value["upstream"] = mark.upstream;
@@ -32,11 +32,11 @@
     return value;
 }
 
-UpstreamMark
+LeavingMark
 mark_from_json(const Json::Value& value)
 {
     return {json_string(value, "upstream"),
-            json_number(value, "expires_in_ms")};
+            json_uint64(value, "expires_in_ms")};
 }
 
 Json::Value
@@ -55,7 +55,7 @@
 {
     return {Digest::from_hex(json_string(value, "key")),
             json_string(value, "id"), json_string(value, "holder"),
-            json_number(value, "key_time")};
+            json_uint64(value, "key_time")};
 }
 
 Json::Value
@@ -96,9 +96,9 @@
     member.id = json_string(value, "id");
     member.address = json_string(value, "address");
     member.zone = json_string(value, "zone");
-    member.incarnation = json_number(value, "incarnation");
+    member.incarnation = json_uint64(value, "incarnation");
     member.state = enum_from_json(value, "state", MemberState::Dead);
-    member.revision = json_number(value, "revision");
+    member.revision = json_uint64(value, "revision");
     return member;
 }
 
@@ -163,7 +163,7 @@
 {
     UpstreamList list;
     list.digest = Digest::from_hex(json_string(value, "digest"));
-    list.age = std::chrono::milliseconds(json_number(value, "age_ms"));
+    list.age = std::chrono::milliseconds(json_uint64(value, "age_ms"));
     list.upstreams = list_from_json(value["upstreams"], instance_from_json);
     return list;
 }
@@ -186,7 +186,7 @@
     HeldAnswer held;
     held.state = enum_from_json(value, "state", HeldAnswer::State::Finished);
     held.fingerprint = Digest::from_hex(json_string(value, "fingerprint"));
-    held.answer.status = static_cast<int>(json_number(value, "status"));
+    held.answer.status = static_cast<int>(json_uint64(value, "status"));
     held.answer.content_type = json_string(value, "content_type");
     held.answer.body = json_string(value, "body");
     return held;
--- a/src/adapters/platform_http.cpp
+++ b/src/adapters/platform_http.cpp
@@ -19,16 +19,16 @@
 std::optional<PlatformRecord>
 record_from_json(const Json::Value& value)
 {
-    if (!json_flag(value, "found"))
+    if (!json_bool(value, "found"))
         return std::nullopt;
     return PlatformRecord{json_string(value, "value"),
-                          json_number(value, "version")};
+                          json_uint64(value, "version")};
 }
 
 SwapOutcome
 outcome_from_json(const Json::Value& value)
 {
-    return {json_flag(value, "applied"), json_number(value, "version")};
+    return {json_bool(value, "applied"), json_uint64(value, "version")};
 }
 
 Json::Value
@@ -94,7 +94,7 @@
     for (const Json::Value& item : ask("/kv/list", body, false)["records"])
         records.push_back(
             {json_string(item, "key"),
-             {json_string(item, "value"), json_number(item, "version")}});
+             {json_string(item, "value"), json_uint64(item, "version")}});
     return records;
 }
 
@@ -134,9 +134,9 @@
     body["holder"] = std::string(holder);
     body["ttl_ms"] = Json::UInt64(milliseconds(time_to_live));
     const Json::Value answer = ask("/lease/take", body, true);
-    if (!json_flag(answer, "granted"))
+    if (!json_bool(answer, "granted"))
         return std::nullopt;
-    return PlatformLease{std::string(name), json_number(answer, "token"),
+    return PlatformLease{std::string(name), json_uint64(answer, "token"),
                          time_to_live};
 }
 
--- a/src/adapters/store_http.cpp
+++ b/src/adapters/store_http.cpp
@@ -47,7 +47,7 @@
     body["bytes"] = Json::UInt64(bytes);
     const Json::Value answer =
         ask("/blocks/reserve", body, ErrorCode::StoreFull);
-    if (!json_flag(answer, "reserved"))
+    if (!json_bool(answer, "reserved"))
         return std::nullopt;
     return wire::handle_from_json(answer);
 }
--- a/src/adapters/wire.cpp
+++ b/src/adapters/wire.cpp
@@ -40,7 +40,7 @@
     Json::Value value;
     value["model"] = resident.model;
     value["version"] = resident.version;
-    value["adapters"] = json_texts(resident.adapters);
+    value["adapters"] = json_strings(resident.adapters);
     return value;
 }
 
@@ -50,7 +50,7 @@
     ResidentModel resident;
     resident.model = json_string(value, "model");
     resident.version = json_string(value, "version");
-    resident.adapters = texts_from_json(value["adapters"]);
+    resident.adapters = strings_from_json(value["adapters"]);
     return resident;
 }
 
@@ -102,8 +102,8 @@
 BlockHandle
 handle_from_json(const Json::Value& value)
 {
-    return {json_number(value, "slot"), json_number(value, "generation"),
-            json_number(value, "incarnation")};
+    return {json_uint64(value, "slot"), json_uint64(value, "generation"),
+            json_uint64(value, "incarnation")};
 }
 
 Json::Value
@@ -123,7 +123,7 @@
     block.handle = handle_from_json(value);
     block.key = Digest::from_hex(json_string(value, "key"));
     block.content = Digest::from_hex(json_string(value, "content"));
-    block.bytes = json_number(value, "bytes");
+    block.bytes = json_uint64(value, "bytes");
     return block;
 }
 
@@ -170,7 +170,7 @@
     instance.address = json_string(value, "address");
     instance.zone = json_string(value, "zone");
     instance.service = json_string(value, "service");
-    instance.leaving = json_flag(value, "leaving");
+    instance.leaving = json_bool(value, "leaving");
     return instance;
 }
 
@@ -198,16 +198,17 @@
     EngineLoad load;
     load.engine_id = json_string(value, "engine_id");
     load.resident = list_from_json(value["resident"], resident_from_json);
-    load.running = json_small_number(value, "running");
-    load.waiting = json_small_number(value, "waiting");
-    load.waiting_tokens = json_number(value, "waiting_tokens");
+    load.running = json_uint32(value, "running");
+    load.waiting = json_uint32(value, "waiting");
+    load.waiting_tokens = json_uint64(value, "waiting_tokens");
     load.prefill_tokens_per_second =
-        json_real(value, "prefill_tokens_per_second");
-    load.import_bytes_per_second = json_real(value, "import_bytes_per_second");
-    load.block_bytes = json_number(value, "block_bytes");
-    load.slots = json_small_number(value, "slots", 1);
-    load.leaving = json_flag(value, "leaving");
-    load.last_event = json_number(value, "last_event");
+        json_double(value, "prefill_tokens_per_second");
+    load.import_bytes_per_second =
+        json_double(value, "import_bytes_per_second");
+    load.block_bytes = json_uint64(value, "block_bytes");
+    load.slots = json_uint32(value, "slots", 1);
+    load.leaving = json_bool(value, "leaving");
+    load.last_event = json_uint64(value, "last_event");
     return load;
 }
 
@@ -239,11 +240,11 @@
     run.version = json_string(value, "version");
     run.adapter = json_string(value, "adapter");
     run.prompt = json_string(value, "prompt");
-    run.max_tokens = json_small_number(value, "max_tokens", run.max_tokens);
-    run.priority = json_small_number(value, "priority", run.priority);
+    run.max_tokens = json_uint32(value, "max_tokens", run.max_tokens);
+    run.priority = json_uint32(value, "priority", run.priority);
     run.block_keys = digests_from_json(value["block_keys"]);
     run.continued_text = json_string(value, "continued_text");
-    run.continued_tokens = json_small_number(value, "continued_tokens");
+    run.continued_tokens = json_uint32(value, "continued_tokens");
     return run;
 }
 
@@ -268,12 +269,12 @@
 {
     EngineFrame frame;
     frame.run_id = json_string(value, "run_id");
-    frame.index = json_small_number(value, "index");
+    frame.index = json_uint32(value, "index");
     frame.text = json_string(value, "text");
     frame.version = json_string(value, "version");
-    frame.last = json_flag(value, "last");
-    frame.prompt_tokens = json_small_number(value, "prompt_tokens");
-    frame.cached_tokens = json_small_number(value, "cached_tokens");
+    frame.last = json_bool(value, "last");
+    frame.prompt_tokens = json_uint32(value, "prompt_tokens");
+    frame.cached_tokens = json_uint32(value, "cached_tokens");
     return frame;
 }
 
--- a/src/bench/load_run.cpp
+++ b/src/bench/load_run.cpp
@@ -159,7 +159,7 @@
             if (text.empty())
                 outcome.first_token = now - due;
             text += json_string(event, "text");
-            outcome.whole = json_flag(event, "last");
+            outcome.whole = json_bool(event, "last");
             return true;
         }
         if (event.isMember("error")) {
@@ -168,9 +168,9 @@
         }
         const Json::Value& usage = event["usage"];
         if (usage.isObject()) {
-            outcome.prompt_tokens = json_number(usage, "prompt_tokens");
+            outcome.prompt_tokens = json_uint64(usage, "prompt_tokens");
             outcome.cached_tokens =
-                json_number(usage["prompt_tokens_details"], "cached_tokens");
+                json_uint64(usage["prompt_tokens_details"], "cached_tokens");
             return true;
         }
         if (text.empty())
--- a/src/crosslink/template_verb.cpp
+++ b/src/crosslink/template_verb.cpp
@@ -135,7 +135,7 @@
         const std::string address = json_string(member, "address");
         try {
             const Json::Value own = ask_instance(address, secret, "/status");
-            if (json_number(own, "revision") < revision)
+            if (json_uint64(own, "revision") < revision)
                 result.insert(address);
         } catch (const Error&) {
             result.insert(address + " (not reached)");
--- a/src/include/crosslink/base/invariants.h
+++ b/src/include/crosslink/base/invariants.h
@@ -46,6 +46,6 @@
 
 /// Checks `holds`; a breach is counted and reported by throwing
 /// Error(Internal), which stops the harm: the caller's step is not done.
-void require(Invariant invariant, bool holds);
+void check_invariant(Invariant invariant, bool holds);
 
 } // namespace crosslink
--- a/src/include/crosslink/base/json.h
+++ b/src/include/crosslink/base/json.h
@@ -28,19 +28,19 @@
 std::string json_string(const Json::Value& object, const char* name,
                         const std::string& fallback = {});
 /// Returns the whole-number field `name`, or `fallback`.
-std::uint64_t json_number(const Json::Value& object, const char* name,
+std::uint64_t json_uint64(const Json::Value& object, const char* name,
                           std::uint64_t fallback = 0);
 /// Returns the whole-number field `name` as one of 32 bits, or `fallback`. Of
 /// a larger number the lowest 32 bits are taken.
-std::uint32_t json_small_number(const Json::Value& object, const char* name,
-                                std::uint32_t fallback = 0);
+std::uint32_t json_uint32(const Json::Value& object, const char* name,
+                          std::uint32_t fallback = 0);
 /// Returns the field `name` in microseconds, or none.
 Micros json_span(const Json::Value& object, const char* name);
 /// Returns the number field `name`, or `fallback`.
-double json_real(const Json::Value& object, const char* name,
-                 double fallback = 0);
+double json_double(const Json::Value& object, const char* name,
+                   double fallback = 0);
 /// Returns the boolean field `name`, or `fallback`.
-bool json_flag(const Json::Value& object, const char* name,
+bool json_bool(const Json::Value& object, const char* name,
                bool fallback = false);
 
 /// Returns an array of what `form` makes of each of `items`.
@@ -69,11 +69,11 @@
 /// Returns an array of `texts`.
 template<typename Texts>
 Json::Value
-json_texts(const Texts& texts)
+json_strings(const Texts& texts)
 {
     return json_list(texts, [](const std::string& text) { return text; });
 }
 /// Returns the texts of the array `list`.
-std::vector<std::string> texts_from_json(const Json::Value& list);
+std::vector<std::string> strings_from_json(const Json::Value& list);
 
 } // namespace crosslink
--- a/src/include/crosslink/base/number.h
+++ b/src/include/crosslink/base/number.h
@@ -41,7 +41,7 @@
 /// nothing where it begins with none, or with one that Number can't hold.
 template<std::integral Number>
 std::optional<Number>
-leading_number(std::string_view text)
+parse_leading_integer(std::string_view text)
 {
     const auto found = pvt::split_number<Number>(text);
     return found ? std::optional(found->number) : std::nullopt;
@@ -51,7 +51,7 @@
 /// one that Number can't hold.
 template<std::integral Number>
 std::optional<Number>
-whole_number(std::string_view text)
+parse_integer(std::string_view text)
 {
     const auto found = pvt::split_number<Number>(text);
     return found && found->rest.empty() ? std::optional(found->number)
--- a/src/include/crosslink/claim/answer_keeper.h
+++ b/src/include/crosslink/claim/answer_cache.h
@@ -17,11 +17,11 @@
 /// The claimed calls that this instance runs or has run, with their answers,
 /// for retries that land anywhere. Bounded: the oldest answers go first, and a
 /// retry then learns that the outcome is unknown.
-class AnswerKeeper
+class AnswerCache
 {
 public:
     /// `most_bytes` bounds the bodies that are kept.
-    explicit AnswerKeeper(std::uint64_t most_bytes);
+    explicit AnswerCache(std::uint64_t most_bytes);
 
     /// Takes note that the claimed call is being run here.
     void begin(const Digest& key, const Digest& fingerprint);
--- a/src/include/crosslink/configuration/client_account.h
+++ b/src/include/crosslink/configuration/client_account.h
@@ -51,7 +51,7 @@
 };
 
 /// What to do with an idempotency key that does not carry its own time.
-enum class UndatedKeys {
+enum class UndatedKeyPolicy {
     Refuse,   ///< Answer `undated_key`, not run. Safe for ever; the default.
     Remember, ///< Take it; at most once only within the claims' age limit.
 };
@@ -66,7 +66,7 @@
 
 /// What a template with its parameters grants. Accounts with the same template
 /// and parameters share one.
-struct AccountTerms {
+struct AccountPolicy {
     std::vector<ModelGrant> models;
     std::vector<PlainServiceGrant> plain_services;
     std::vector<TrafficSplit> splits;
@@ -74,7 +74,7 @@
     double weight = 1;          ///< Share under contention; 0.01 to 1,000.
     AccountLimits limits;
     Objectives objectives;
-    UndatedKeys undated_keys = UndatedKeys::Refuse;
+    UndatedKeyPolicy undated_keys = UndatedKeyPolicy::Refuse;
 
     /// Returns the grant for `model`, or null where it has none.
     const ModelGrant* grant_for(std::string_view model) const;
@@ -87,8 +87,8 @@
 /// One client account as the instances use it.
 struct ClientAccount {
     std::string name;
-    std::vector<Digest> key_hashes;            ///< SHA-256 of each API key.
-    std::shared_ptr<const AccountTerms> terms; ///< Never null.
+    std::vector<Digest> key_hashes;              ///< SHA-256 of each API key.
+    std::shared_ptr<const AccountPolicy> policy; ///< Never null.
 };
 
 /// True where `service` marks this call as not to be repeated.
--- a/src/include/crosslink/configuration/configuration_state.h
+++ b/src/include/crosslink/configuration/configuration_state.h
@@ -17,23 +17,23 @@
 class ConfigurationState
 {
 public:
-    using Held = std::shared_ptr<const Configuration>;
+    using ConfigurationPtr = std::shared_ptr<const Configuration>;
 
     /// Puts `candidate` in force when its revision is newer. Returns whether
     /// it did.
-    bool offer(Held candidate);
+    bool set_if_newer(ConfigurationPtr candidate);
     /// Returns the configuration in force; null before the first.
-    Held current() const;
+    ConfigurationPtr current() const;
     /// Returns the revision in force; 0 before the first.
     std::uint64_t revision() const;
 
 private:
     mutable std::mutex m_mutex;
-    Held m_current;
+    ConfigurationPtr m_current;
 };
 
 /// Who tells a starting instance about the newest configuration.
-struct StartEvidence {
+struct StartupReplies {
     bool platform_answered = false; ///< The platform told its head.
     std::size_t zone_members = 0;   ///< Other members of the zone, as known.
     std::size_t zone_answered = 0;  ///< Those that told their revision.
@@ -43,6 +43,6 @@
 /// has learned. The platform's own answer is enough. Without it every known
 /// member of the zone must have answered: an instance that starts in a cut
 /// must not serve a revision older than what its zone already serves.
-bool may_start_serving(const StartEvidence& evidence, std::uint64_t revision);
+bool may_start_serving(const StartupReplies& evidence, std::uint64_t revision);
 
 } // namespace crosslink
--- a/src/include/crosslink/configuration/template_set.h
+++ b/src/include/crosslink/configuration/template_set.h
@@ -59,15 +59,15 @@
                   const char* list, std::map<std::string, Declared>& into);
     /// Terms by template and parameter values; null where they have mistakes.
     using TermsCache =
-        std::map<std::string, std::shared_ptr<const AccountTerms>>;
+        std::map<std::string, std::shared_ptr<const AccountPolicy>>;
 
     void check_templates(TermsCache& cache);
     bool expand(const Declared& declared, const std::string& name,
                 TermsCache& cache, ClientAccount& account);
-    std::shared_ptr<const AccountTerms> terms_of(const Declared& declared,
-                                                 const Json::Value& values,
-                                                 const std::string& account,
-                                                 TermsCache& cache);
+    std::shared_ptr<const AccountPolicy> terms_of(const Declared& declared,
+                                                  const Json::Value& values,
+                                                  const std::string& account,
+                                                  TermsCache& cache);
 
     std::map<std::string, Declared> m_templates;
     std::map<std::string, Declared> m_accounts;
--- a/src/include/crosslink/forward/named_limit.h
+++ b/src/include/crosslink/forward/advertised_limit.h
@@ -13,12 +13,12 @@
 {
 
 /// What one instance tells another of a runner that named a limit.
-struct LimitNews {
+struct LimitUpdate {
     std::string runner;
-    std::uint64_t born = 0;            ///< Its incarnation.
+    std::uint64_t start_ms = 0;        ///< Its incarnation.
     double per_second = no_rate_limit; ///< See AnswerHead::rate_limit.
-    std::uint64_t change = 0;          ///< See NamedLimit.
-    std::uint64_t heard = 0;           ///< See NamedLimit.
+    std::uint64_t change = 0;          ///< See AdvertisedLimit.
+    std::uint64_t heard = 0;           ///< See AdvertisedLimit.
 };
 
 /// How many calls a second a runner takes from all instances together, by its
@@ -28,7 +28,7 @@
 /// that were heard apart, and count the same, the lower limit holds until the
 /// next answer. Answers that said so are counted too: an age would seem less
 /// with each instance that tells it on.
-class NamedLimit
+class AdvertisedLimit
 {
 public:
     bool in_force() const { return m_per_second != no_rate_limit; }
@@ -44,7 +44,7 @@
     /// Returns whether the limit changed.
     bool answered(double per_second, std::uint64_t known, TimePoint now);
     /// Takes in what another instance told. Returns whether the limit changed.
-    bool told(const LimitNews& news, TimePoint now);
+    bool told(const LimitUpdate& news, TimePoint now);
     /// Returns whether other instances are to be told of it: while it is in
     /// force, and for some time after its end.
     bool is_news(TimePoint now) const;
--- a/src/include/crosslink/forward/crash_history.h
+++ b/src/include/crosslink/forward/crash_history.h
@@ -19,10 +19,10 @@
 {
 
 /// A call that was under way at a runner when its process ended.
-struct BrokenCall {
+struct InterruptedCall {
     std::string request; ///< See request_digest().
     std::string runner;
-    std::uint64_t born = 0; ///< See ListedRunner.
+    std::uint64_t start_ms = 0; ///< See ListedRunner.
     /// It was sent although the instance knew of another runner's end under the
     /// request, with no answer since.
     bool again = false;
@@ -31,12 +31,12 @@
 
 /// What instances tell each other of requests under which runners ended. Spans
 /// count back from when it is told.
-struct CrashNews {
-    /// See BrokenCall.
+struct CrashUpdate {
+    /// See InterruptedCall.
     struct Broken {
         std::string request;
         std::string runner;
-        std::uint64_t born = 0;
+        std::uint64_t start_ms = 0;
         bool again = false;
         Micros since_end{0};
     };
@@ -96,7 +96,7 @@
 
     /// Takes in that a runner ended under a request. Returns whether it was not
     /// known: several instances may tell of the same end.
-    bool ended(const BrokenCall& call, TimePoint now);
+    bool ended(const InterruptedCall& call, TimePoint now);
     /// Takes in that a runner answered a request whole at `at`.
     void answered(std::string_view request, TimePoint at, TimePoint now);
     /// Takes in that a request broke off at one more runner at `at`, of which
@@ -114,9 +114,9 @@
     bool empty() const { return m_requests.empty(); }
 
     /// Returns what was learned lately, for other instances.
-    CrashNews news(TimePoint now) const;
+    CrashUpdate news(TimePoint now) const;
     /// Takes in what another instance told at `as_of`.
-    void take(const CrashNews& news, TimePoint as_of, TimePoint now);
+    void take(const CrashUpdate& news, TimePoint as_of, TimePoint now);
 
     /// Takes in that the platform records a request as blocked.
     void recorded(std::string_view request, TimePoint now);
@@ -134,7 +134,7 @@
 private:
     struct End {
         std::string runner;
-        std::uint64_t born = 0;
+        std::uint64_t start_ms = 0;
         bool again = false;
         TimePoint ended_at{};
         TimePoint learned_at{};
@@ -157,12 +157,12 @@
         bool is_blocked() const;
         bool is_held(TimePoint now) const;
     };
-    static bool is_same_end(const End& known, const BrokenCall& call);
+    static bool is_same_end(const End& known, const InterruptedCall& call);
 
     using Requests = std::map<std::string, Request, std::less<>>;
 
     static void add_news(const std::string& digest, const Request& request,
-                         TimePoint now, CrashNews& news);
+                         TimePoint now, CrashUpdate& news);
     Request& touch(std::string_view request, TimePoint now);
     void learned(Request& request, TimePoint now);
     void expire(TimePoint now);
--- a/src/include/crosslink/forward/account_turns.h
+++ b/src/include/crosslink/forward/fair_share_tracker.h
@@ -16,7 +16,7 @@
 /// of a service take. Answers an account that sends ten times as many calls as
 /// the others: where calls are taken as they come, it would get ten times as
 /// many places.
-class AccountTurns
+class FairShareTracker
 {
 public:
     /// Takes note that a call of `account` asks for a place.
--- a/src/include/crosslink/forward/load_board.h
+++ b/src/include/crosslink/forward/load_aggregator.h
@@ -28,7 +28,7 @@
 
 /// The load that each instance gives to each runner, as the instances tell it
 /// a few times a second.
-class LoadBoard
+class LoadAggregator
 {
 public:
     /// Takes in what `instance` has under way.
--- a/src/include/crosslink/forward/queue_limit.h
+++ b/src/include/crosslink/forward/queue_limit.h
@@ -12,12 +12,12 @@
 {
 
 /// A caller that was refused comes back after this time at least.
-inline constexpr Micros least_return = std::chrono::milliseconds(250);
+inline constexpr Micros min_retry_delay = std::chrono::milliseconds(250);
 
 /// Returns a time from `earliest` to twice that, and at most 5 s later, by
 /// `random` bits: callers that were refused together would be refused together
 /// again.
-Micros spread_return(Micros earliest, std::uint64_t random);
+Micros jittered_retry_delay(Micros earliest, std::uint64_t random);
 
 /// A call for a model that may be sent to a runner now.
 struct QueuedCall {
--- a/src/include/crosslink/forward/runner_entry.h
+++ b/src/include/crosslink/forward/runner_entry.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include <crosslink/base/time.h>
-#include <crosslink/forward/runner_words.h>
+#include <crosslink/forward/runner_notices.h>
 #include <crosslink/forward/send_window.h>
 
 #include <cstdint>
@@ -27,7 +27,7 @@
     std::string id; ///< May be that of an earlier process.
     /// Unix milliseconds of its start: tells its incarnations apart. 0 where it
     /// is not told.
-    std::uint64_t born = 0;
+    std::uint64_t start_ms = 0;
     std::string service;
     std::string address; ///< "ip:port"; may be used again by another one.
     std::string zone;
@@ -41,7 +41,7 @@
 /// One process among those that have, or had, the same id.
 struct RunnerIncarnation {
     std::string_view id;
-    std::uint64_t born = 0; ///< See ListedRunner.
+    std::uint64_t start_ms = 0; ///< See ListedRunner.
 };
 
 /// Calls under way at a runner.
@@ -66,16 +66,16 @@
     ListedRunner listed;
     /// Weights by the runner's own word in answers and reports, or the
     /// holder's of the duty that asked it. The list lags behind them.
-    std::vector<LoadedModel> told;
+    std::vector<LoadedModel> reported_models;
     RunnerLoad own;             ///< Calls of this instance.
     RunnerLoad others;          ///< Of all other instances, as they told it.
-    RunnerLoad untold;          ///< Of this instance, sent since then.
+    RunnerLoad unreported_load; ///< Of this instance, sent since then.
     std::uint32_t failures = 0; ///< In a row.
     TimePoint held_until{};     ///< It gets nothing before.
     TimePoint cold_until{};     ///< It bears little before, by its own word.
     /// When it last took no connection or broke one off: it may start anew.
-    std::optional<TimePoint> contact_lost_at;
-    RunnerWords words;
+    std::optional<TimePoint> connection_failed_at;
+    RunnerNotices notices;
     SendWindow sends; ///< Of this instance.
     /// Calls of it that are about to be sent, or wait for their time.
     std::uint32_t reserved = 0;
@@ -88,9 +88,12 @@
     std::uint64_t version_of(std::string_view model) const;
     /// Returns whether its process will end: by the platform's list, or by its
     /// own word, which the list lags behind.
-    bool leaves() const { return listed.leaving || words.leaving; }
+    bool leaves() const { return listed.leaving || notices.leaving; }
     /// Returns which process the entry is of.
-    RunnerIncarnation incarnation() const { return {listed.id, listed.born}; }
+    RunnerIncarnation incarnation() const
+    {
+        return {listed.id, listed.start_ms};
+    }
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/forward/runner_words.h
+++ b/src/include/crosslink/forward/runner_notices.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include <crosslink/base/time.h>
-#include <crosslink/forward/named_limit.h>
+#include <crosslink/forward/advertised_limit.h>
 
 #include <cstdint>
 #include <string>
@@ -17,12 +17,12 @@
 /// has one: entries are renewed by rote, lapse, and can't be read or written
 /// while the platform is away. The next process under the same id starts
 /// without any.
-struct RunnerWords {
+struct RunnerNotices {
     bool leaving = false; ///< It will end: nothing new is sent to it.
     /// It wants nothing from this instance before.
     TimePoint backoff_until{};
-    NamedLimit limit;     ///< What it takes from all instances together.
-    TimePoint heard_at{}; ///< When it last said any of it.
+    AdvertisedLimit limit; ///< What it takes from all instances together.
+    TimePoint heard_at{};  ///< When it last said any of it.
 
     /// Returns whether it has said nothing that is of use later.
     bool empty() const
@@ -33,9 +33,9 @@
 
 /// A process of which an instance tells another that it leaves, by its own
 /// word.
-struct LeavingNews {
+struct LeavingUpdate {
     std::string runner;
-    std::uint64_t born = 0; ///< Its incarnation.
+    std::uint64_t start_ms = 0; ///< Its incarnation.
 };
 
 /// Returns when the `backoff` is over that a runner asked for at `now`: not
--- a/src/include/crosslink/forward/runner_query.h
+++ b/src/include/crosslink/forward/runner_query.h
@@ -65,18 +65,18 @@
 };
 
 /// When a runner takes a call that none takes now.
-struct NextChance {
+struct NextAvailability {
     /// As far as is known; nothing where none does before the fleet changes.
     std::optional<TimePoint> at;
     std::string runner; ///< That takes it then; empty for none.
-    std::uint64_t born = 0;
+    std::uint64_t start_ms = 0;
     bool limited = false; ///< One would, but for the limit that it named.
     /// When one takes calls that asked for a backoff until then; nothing where
     /// none does. No call waits for it: all that came meanwhile would come at
     /// once.
     std::optional<TimePoint> backoff_ends_at;
 
-    RunnerIncarnation incarnation() const { return {runner, born}; }
+    RunnerIncarnation incarnation() const { return {runner, start_ms}; }
     /// Returns the first time at which any runner takes a call.
     std::optional<TimePoint> earliest() const
     {
@@ -89,15 +89,15 @@
 /// The runner that was chosen.
 struct RunnerPick {
     std::string id;
-    std::uint64_t born = 0; ///< Its incarnation; see ListedRunner.
+    std::uint64_t start_ms = 0; ///< Its incarnation; see ListedRunner.
     std::string address;
     std::string zone;
     std::uint64_t version = 0; ///< Of the model, as believed.
     Micros wait{0};            ///< Until it takes up the call, as expected.
     bool limited = false;      ///< It named a limit.
-    std::uint64_t limit_change = 0; ///< See NamedLimit.
+    std::uint64_t limit_change = 0; ///< See AdvertisedLimit.
 
-    RunnerIncarnation incarnation() const { return {id, born}; }
+    RunnerIncarnation incarnation() const { return {id, start_ms}; }
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/forward/runner_table.h
+++ b/src/include/crosslink/forward/runner_table.h
@@ -7,7 +7,7 @@
 #include <crosslink/forward/holding_time.h>
 #include <crosslink/forward/runner_entry.h>
 #include <crosslink/forward/runner_query.h>
-#include <crosslink/forward/unlisted_words.h>
+#include <crosslink/forward/unlisted_notices.h>
 #include <crosslink/membership/settled_members.h>
 
 #include <cstdint>
@@ -71,12 +71,12 @@
     std::optional<RunnerPick> choose(const RunnerQuery& query) const;
     /// Returns the runner for a call that waited with a reservation at
     /// `booked`, which is given back; others that wait there come after it.
-    std::optional<RunnerPick> choose_booked(const RunnerQuery& query,
-                                            const RunnerIncarnation& booked);
+    std::optional<RunnerPick> choose_reserved(const RunnerQuery& query,
+                                              const RunnerIncarnation& booked);
     /// Returns when a runner takes work again.
-    NextChance next_chance(const RunnerQuery& query) const;
+    NextAvailability next_available(const RunnerQuery& query) const;
     /// Counts a call as about to be sent, so that others that are chosen for at
-    /// the same time know of it. sent(), release() or choose_booked() must
+    /// the same time know of it. sent(), release() or choose_reserved() must
     /// follow.
     void reserve(const RunnerIncarnation& runner);
     /// Takes note that such a call is not sent after all.
@@ -102,24 +102,24 @@
     /// Takes note that a runner took no connection at `at`, or broke one off:
     /// it may have ended and start again, and counts as warming up from then
     /// on. Its own word of that comes up to 2 s after the start.
-    void contact_lost(std::string_view id, TimePoint at);
+    void connection_failed(std::string_view id, TimePoint at);
     /// Returns the runners of which that was noted after `since`, and when.
-    std::map<std::string, TimePoint> contacts_lost(TimePoint since) const;
+    std::map<std::string, TimePoint> connection_failures(TimePoint since) const;
     /// Takes note that a runner says nothing at all: its zone may be cut off,
     /// and is passed over for a while, or until one of its runners answers.
     void silent(std::string_view id, TimePoint now);
     /// Takes note of the weights that a runner has by its own word. Returns
     /// whether that was not known yet. Between two starts a runner's weights
     /// only get newer: older ones were told late, and are passed over.
-    bool has_version(const RunnerIncarnation& runner, std::string_view model,
-                     std::uint64_t version);
+    bool record_version(const RunnerIncarnation& runner, std::string_view model,
+                        std::uint64_t version);
     /// Takes note that a runner has other weights than `version`, which a call
     /// asked for: what was told does not hold, and the list counts again.
     /// Without this, one wrong word would keep a runner from calls and from
     /// orders until it ends: 1,100 calls turned away in 30 s were seen, where
     /// a guess stood for its word.
-    void lacks_version(const RunnerIncarnation& runner, std::string_view model,
-                       std::uint64_t version);
+    void discard_version(const RunnerIncarnation& runner,
+                         std::string_view model, std::uint64_t version);
 
     /// Takes in the limit that a runner names in an answer, where its call was
     /// sent when `known` changes of it were known. Returns whether it changed.
@@ -127,23 +127,23 @@
                         std::uint64_t known, TimePoint now);
     /// Takes in what another instance told of a runner's limit. Returns whether
     /// it changed.
-    bool limit_told(const LimitNews& news, TimePoint now);
+    bool limit_told(const LimitUpdate& news, TimePoint now);
     /// Returns what to tell other instances of limits.
-    std::vector<LimitNews> limit_news(TimePoint now) const;
+    std::vector<LimitUpdate> limit_updates(TimePoint now) const;
     /// Returns how many runners have a limit in force.
     std::size_t limited_count() const;
 
     /// Takes in that a process says that it leaves. Returns whether that was
     /// not known. It may be one that is not listed now.
-    bool says_leaving(const RunnerIncarnation& runner, TimePoint now);
+    bool set_leaving(const RunnerIncarnation& runner, TimePoint now);
     /// Returns what to tell other instances of such processes: of those that
     /// the platform does not call leaving yet.
-    std::vector<LeavingNews> leaving_news() const;
+    std::vector<LeavingUpdate> leaving_updates() const;
     /// Takes in that a process wants nothing from this instance before `until`.
     /// Returns whether that is later than it said before: what it asked for
     /// earlier stands.
-    bool asks_for_backoff(const RunnerIncarnation& runner, TimePoint until,
-                          TimePoint now);
+    bool set_backoff(const RunnerIncarnation& runner, TimePoint until,
+                     TimePoint now);
 
     /// Returns the load that this instance gives to each runner.
     std::map<std::string, RunnerLoad> own_load() const;
@@ -159,7 +159,7 @@
     void note_send(RunnerEntry& entry, TimePoint now) const;
     RunnerEntry* find(std::string_view id);
     RunnerEntry* find(const RunnerIncarnation& runner);
-    RunnerWords* words_of(const RunnerIncarnation& runner);
+    RunnerNotices* notices_of(const RunnerIncarnation& runner);
     void drop_if(const std::function<bool(const RunnerEntry&)>& condition);
     bool may_take_work(const RunnerEntry& entry,
                        const RunnerQuery& query) const;
@@ -184,7 +184,7 @@
     Micros holding_time(std::string_view service) const;
 
     Entries m_entries;
-    UnlistedWords m_unlisted;
+    UnlistedNotices m_unlisted;
     /// Zones that may be cut off, and until when they are passed over.
     std::map<std::string, TimePoint, std::less<>> m_silent_zones;
     std::set<std::string, std::less<>> m_evacuated; ///< Zones.
--- a/src/include/crosslink/forward/service_map.h
+++ b/src/include/crosslink/forward/service_map.h
@@ -42,7 +42,7 @@
     bool open = false;      ///< Needs no key.
     bool resumable = false; ///< A broken stream may go on elsewhere.
     /// Regions whose runners may have its calls; empty for all.
-    std::vector<std::string> homes{};
+    std::vector<std::string> allowed_regions{};
 
     /// True where a call may run more than once.
     bool repeatable() const
@@ -86,13 +86,13 @@
 };
 
 /// A client account with what its keys open.
-struct KeyHolder {
+struct AccountSettings {
     std::string name;
     bool has_priority = false; ///< Its priority goes before the route's.
     std::uint32_t priority = 5;
     bool isolated = false; ///< Shares no kept KV with any other account.
     /// Regions whose runners may have its calls; empty for all.
-    std::vector<std::string> homes{};
+    std::vector<std::string> allowed_regions{};
 };
 
 /// One version of the operator's routes, services and keys. Immutable once
@@ -103,7 +103,7 @@
     std::uint64_t version = 0;
     CallerLimits limits;
     std::vector<KeptStoreInfo> stores;
-    std::vector<KeyHolder> accounts;
+    std::vector<AccountSettings> accounts;
     bool needs_key = false; ///< Calls carry a key, open routes excepted.
     /// Services whose runners are model engines.
     std::map<std::string, EngineInfo, std::less<>> engines;
@@ -119,7 +119,7 @@
     const ServiceRoute* find_route(std::string_view host,
                                    std::string_view path) const;
     /// Returns the account that `key` opens, or null.
-    const KeyHolder* holder_of(std::string_view key) const;
+    const AccountSettings* find_account(std::string_view key) const;
     /// Returns the store at `address`, or null.
     const KeptStoreInfo* find_store(std::string_view address) const;
     std::size_t route_count() const { return m_routes; }
--- a/src/include/crosslink/forward/open_breaks.h
+++ b/src/include/crosslink/forward/unresolved_failures.h
@@ -20,12 +20,12 @@
 
 /// A call that its runner broke off or failed, of which it is not known yet
 /// whether the runner's process ended.
-struct OpenBreak {
+struct UnresolvedFailure {
     std::string request; ///< See request_digest().
     std::string runner;
-    std::uint64_t born = 0; ///< See ListedRunner.
-    std::string address;    ///< "ip:port".
-    bool again = false;     ///< See BrokenCall.
+    std::uint64_t start_ms = 0; ///< See ListedRunner.
+    std::string address;        ///< "ip:port".
+    bool again = false;         ///< See InterruptedCall.
     TimePoint broke_at{};
     /// Its port is looked at: the connection broke. One that answered that the
     /// call failed is not, since some services often do so.
@@ -33,9 +33,9 @@
 };
 
 /// A process at whose port is to be looked.
-struct PortToLookAt {
+struct ProbeTarget {
     std::string runner;
-    std::uint64_t born = 0;
+    std::uint64_t start_ms = 0;
     std::string address;
 };
 
@@ -49,7 +49,7 @@
 ///
 /// A break of which nothing more is learned is no end: connections break for
 /// other reasons.
-class OpenBreaks
+class UnresolvedFailures
 {
 public:
     /// A verdict may come so long after the break: a runner's entry goes three
@@ -66,18 +66,18 @@
 
     /// Takes in a break, or a call that failed. Returns whether its process is
     /// known to have ended: ended() is to be asked for the verdict then.
-    bool add(OpenBreak call, TimePoint now);
+    bool add(UnresolvedFailure call, TimePoint now);
     /// Returns whether one of a request is open.
     bool has(std::string_view request, TimePoint now) const;
     /// Takes in that a process ended, as was learned at `now`. Returns the
     /// calls that count as under way at its end.
-    std::vector<BrokenCall> ended(const RunnerIncarnation& runner,
-                                  TimePoint now);
+    std::vector<InterruptedCall> ended(const RunnerIncarnation& runner,
+                                       TimePoint now);
     /// As ended(), for all other processes that were at `address`, where
     /// `runner` is listed now.
-    std::vector<BrokenCall> replaced_at(std::string_view address,
-                                        const RunnerIncarnation& runner,
-                                        TimePoint now);
+    std::vector<InterruptedCall> replaced_at(std::string_view address,
+                                             const RunnerIncarnation& runner,
+                                             TimePoint now);
     /// Takes in that a process leaves as planned: what broke there is no end.
     void leaves(const RunnerIncarnation& runner);
     /// Takes in that a process answered a call that was sent at `sent_at`: it
@@ -89,28 +89,28 @@
     void gone(const RunnerIncarnation& runner, std::string_view zone,
               std::size_t of_zone, TimePoint now);
     /// Returns the calls under way at runners that went by themselves.
-    std::vector<BrokenCall> take_gone(TimePoint now);
+    std::vector<InterruptedCall> take_gone(TimePoint now);
 
     /// Returns the processes at whose ports to look now, and counts them as
     /// looked at.
-    std::vector<PortToLookAt> take_due(TimePoint now);
+    std::vector<ProbeTarget> take_due(TimePoint now);
     /// Returns when something is to be done next; nothing where nothing is.
     std::optional<TimePoint> next_due() const;
     bool empty() const { return m_breaks.empty(); }
 
 private:
     struct Open {
-        OpenBreak call;
+        UnresolvedFailure call;
         std::size_t looks = 0; ///< That were made since.
     };
     struct Ended {
         std::string runner;
-        std::uint64_t born = 0;
+        std::uint64_t start_ms = 0;
         TimePoint at{};
     };
     struct Gone {
         std::string runner;
-        std::uint64_t born = 0;
+        std::uint64_t start_ms = 0;
         std::string zone;
         std::size_t of_zone = 0;
         TimePoint at{};
--- a/src/include/crosslink/kept/fetch_watch.h
+++ b/src/include/crosslink/kept/fetch_delay_tracker.h
@@ -22,24 +22,24 @@
 
 /// A store of kept parts, with the zone of the runners that fetch from it: a
 /// zone that is cut off makes it late for one zone alone.
-struct FetchWay {
+struct FetchPath {
     std::string store; ///< Address.
     std::string zone;
 
-    auto operator<=>(const FetchWay&) const = default;
+    auto operator<=>(const FetchPath&) const = default;
 };
 
 /// How late calls that fetched were, in the mean, as one or more instances saw
 /// it since they told it last.
 struct FetchSamples {
-    FetchWay way;
+    FetchPath path;
     std::uint32_t calls = 0;
     double late_ms = 0; ///< Below 0 where events came early.
 };
 
 /// How late calls that fetch are, as the fleet sees it.
-struct FetchLateness {
-    FetchWay way;
+struct FetchDelay {
+    FetchPath path;
     double late_ms = 0;
     Micros age{0}; ///< Since the newest sample.
 };
@@ -47,33 +47,33 @@
 /// Finds out which stores are slow at the moment, from how much later than
 /// expected the first events of calls come that fetch from them. What delays
 /// all calls, such as runners with too much to do, counts for no store.
-class FetchWatch
+class FetchDelayTracker
 {
 public:
     /// Takes note of a call that fetches its largest part by `way`, and whose
     /// first event should come at `expected`.
-    void sent(const FetchWay& way, TimePoint expected);
+    void sent(const FetchPath& path, TimePoint expected);
     /// Takes note that the first event of such a call came at `now`.
-    void first_event(const FetchWay& way, TimePoint expected, TimePoint now);
+    void first_event(const FetchPath& path, TimePoint expected, TimePoint now);
     /// Takes note that such a call ended without an event.
-    void ended(const FetchWay& way, TimePoint expected);
+    void ended(const FetchPath& path, TimePoint expected);
     /// Takes in what other instances saw, as if this one had seen it.
-    void seen_by_others(const FetchSamples& samples, TimePoint now);
+    void add_remote_samples(const FetchSamples& samples, TimePoint now);
     /// Returns what was seen, here and by those others, since the last time.
-    std::vector<FetchSamples> take_untold();
+    std::vector<FetchSamples> take_unreported();
     /// Returns how late calls are, for the best way of each zone and those that
     /// are much later.
-    std::vector<FetchLateness> lateness(TimePoint now) const;
+    std::vector<FetchDelay> delays(TimePoint now) const;
     /// Takes in how late calls are, as the fleet sees it at `now`. One instance
     /// of 71 sees a store once in three seconds, and all together 12 times in
     /// one.
-    void told(const FetchLateness& fleet, TimePoint now);
+    void set_fleet_delay(const FetchDelay& fleet, TimePoint now);
 
     /// Returns whether a call should fetch a part of `tokens` by `way`.
     /// From a slow store only as many calls fetch as it may answer in time;
     /// `random` bits choose them. Large parts are worth a longer wait, and
     /// calls with a long `objective`, to their first event, can bear one.
-    bool should_fetch(const FetchWay& way, std::uint32_t tokens,
+    bool should_fetch(const FetchPath& path, std::uint32_t tokens,
                       Micros objective, std::uint64_t random,
                       TimePoint now) const;
 
@@ -84,10 +84,10 @@
     /// it: the first one that is read takes the later ones with it, and is
     /// worth waiting for as much as all of them.
     /// The parts are fetched by a runner of `zone`.
-    void pass_over_slow(std::span<const PromptPart> parts,
-                        std::span<KeptPlace> places, std::string_view zone,
-                        Micros objective, std::uint64_t random,
-                        TimePoint now) const;
+    void skip_slow_stores(std::span<const PromptPart> parts,
+                          std::span<KeptPlace> places, std::string_view zone,
+                          Micros objective, std::uint64_t random,
+                          TimePoint now) const;
 
 private:
     struct Seen {
@@ -102,15 +102,15 @@
 
     /// Returns by how much, in milliseconds, events come later by `way` than
     /// from the best other store to that zone; 0 where that is not known.
-    double later_ms(const FetchWay& way, TimePoint now) const;
-    std::vector<FetchLateness> known_lateness(TimePoint now) const;
+    double later_ms(const FetchPath& path, TimePoint now) const;
+    std::vector<FetchDelay> known_lateness(TimePoint now) const;
     void add_samples(Seen& seen, std::uint32_t calls, double late_ms,
                      TimePoint now);
     static bool is_known(const Seen& seen, TimePoint now);
     static bool is_told(const Seen& seen, TimePoint now);
     static double late_ms(const Seen& seen, TimePoint now);
 
-    std::map<FetchWay, Seen> m_ways;
+    std::map<FetchPath, Seen> m_paths;
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/kept/import_check.h
+++ b/src/include/crosslink/kept/import_check.h
@@ -21,7 +21,7 @@
                      const std::vector<bool>& still_sealed);
 
 /// Checks that a store's answer to a lookup is a prefix of what was asked.
-/// Throws through require(Invariant::BlockIdentity) where it is not.
+/// Throws through check_invariant(Invariant::BlockIdentity) where it is not.
 void check_lookup(std::span<const Digest> asked,
                   std::span<const SealedBlock> found);
 
--- a/src/include/crosslink/kept/kept_directory.h
+++ b/src/include/crosslink/kept/kept_directory.h
@@ -59,14 +59,14 @@
 
     /// Takes note that no earlier holder tells anything from `now` on. Without
     /// this they are taken to tell for kept_grace_time after begin().
-    void earlier_silent(TimePoint now);
+    void earlier_holders_stopped(TimePoint now);
 
     /// Takes in what a store lists.
-    void listed(std::string_view store, const KeptListing& listing,
-                TimePoint now);
+    void apply_listing(std::string_view store, const KeptListing& listing,
+                       TimePoint now);
     /// Takes in changes. Returns false where it must be listed anew.
-    bool changed(std::string_view store, const KeptChanges& changes,
-                 TimePoint now);
+    bool apply_changes(std::string_view store, const KeptChanges& changes,
+                       TimePoint now);
     /// Takes over the stores that are slow now; they are written to only where
     /// no other one has room.
     void set_slow(std::set<std::string, std::less<>> stores)
@@ -88,12 +88,12 @@
     void not_saved(const KeptPart& part);
     /// Lets go of the parts whose space `obsolete` says so of, of those asked
     /// for least lately where a store is full, and of parts of replaced
-    /// weights, to have room in proportion to `changed_part`: the part of the
-    /// runners, 0 to 1, that have the newest weights. Returns what is to be
+    /// weights, to have room in proportion to `updated_fraction`: the part of
+    /// the runners, 0 to 1, that have the newest weights. Returns what is to be
     /// freed now.
     std::vector<KeptFree>
-    due(const std::function<bool(const KeptSpace&)>& obsolete,
-        double changed_part, TimePoint now);
+    take_due_frees(const std::function<bool(const KeptSpace&)>& obsolete,
+                   double updated_fraction, TimePoint now);
     /// Returns true where `store` has saves that should have ended: only a
     /// new listing tells what became of them.
     bool wants_listing(std::string_view store, TimePoint now) const;
@@ -155,7 +155,7 @@
     KeptPlace place_of(const Entry& entry, TimePoint now) const;
     std::vector<Dispensable> dispensable(TimePoint now);
     std::uint64_t let_go_tokens() const;
-    void make_room(double changed_part, TimePoint now);
+    void make_room(double updated_fraction, TimePoint now);
     void let_go_obsolete(const std::function<bool(const KeptSpace&)>& obsolete,
                          TimePoint now);
 
--- a/src/include/crosslink/kept/kept_part.h
+++ b/src/include/crosslink/kept/kept_part.h
@@ -27,7 +27,8 @@
 /// What separates kept KV that must not mix: parts are found only under the
 /// same space.
 struct KeptSpace {
-    std::string wall; ///< Empty for all accounts that share; else the account.
+    std::string isolated_account; ///< Empty for all accounts that share; else
+                                  ///< the account.
     std::string model;
     std::uint64_t version = 0; ///< Of the weights that made the KV.
     /// Token of the duty under which its parts are saved. No two holders of
@@ -38,8 +39,8 @@
     /// True where `other` differs in the term at most.
     bool same_but_term(const KeptSpace& other) const
     {
-        return wall == other.wall && model == other.model &&
-               version == other.version;
+        return isolated_account == other.isolated_account &&
+               model == other.model && version == other.version;
     }
     /// Returns the text that runners and stores keep parts under.
     std::string text() const;
@@ -92,13 +93,13 @@
     };
     /// Why a part is read, where it is.
     enum class Reason {
-        Unknown,    ///< Nobody told where it lies.
-        BeingSaved, ///< Another call saves it.
-        LetGo,      ///< It is about to be freed.
-        StoreAway,  ///< The store that has it does not answer.
-        NoRoom,     ///< No store has room for it.
-        OtherTerm,  ///< Its space belongs to an earlier holder of the duty.
-        SlowStore,  ///< The store that has it is slower than others.
+        Unknown,          ///< Nobody told where it lies.
+        BeingSaved,       ///< Another call saves it.
+        BeingFreed,       ///< It is about to be freed.
+        StoreUnreachable, ///< The store that has it does not answer.
+        NoRoom,           ///< No store has room for it.
+        OtherTerm, ///< Its space belongs to an earlier holder of the duty.
+        SlowStore, ///< The store that has it is slower than others.
     };
     Kind kind = Kind::None;
     std::string store; ///< Address.
--- a/src/include/crosslink/kept/kept_replica.h
+++ b/src/include/crosslink/kept/kept_replica.h
@@ -38,11 +38,11 @@
 /// What changed in the directory since a place in its history.
 struct KeptUpdate {
     bool ready = false; ///< False: the holder of the duty has listed nothing.
-    std::uint64_t term = 0;  ///< Of the holder.
-    std::uint64_t place = 0; ///< Where the next update goes on.
-    bool whole = false;      ///< Entries that are not named are told no more.
-    RunnerMillis clock = 0;  ///< The runners' clock as the holder told it.
-    Micros age{0};           ///< Time since then, where others handed it on.
+    std::uint64_t term = 0;   ///< Of the holder.
+    std::uint64_t place = 0;  ///< Where the next update goes on.
+    bool is_snapshot = false; ///< Entries that are not named are told no more.
+    RunnerMillis clock = 0;   ///< The runners' clock as the holder told it.
+    Micros age{0};            ///< Time since then, where others handed it on.
     std::vector<KeptEntry> entries;
 };
 
--- a/src/include/crosslink/kept/kept_room.h
+++ b/src/include/crosslink/kept/kept_room.h
@@ -79,9 +79,9 @@
     /// Takes note that room is made.
     void made() { m_full = false; }
     /// Returns whether less room is free than is to be kept free, where the
-    /// part `changed_part` of the runners, 0 to 1, has the newest weights.
+    /// part `updated_fraction` of the runners, 0 to 1, has the newest weights.
     /// `let_go` tokens of what is taken are about to be freed.
-    bool is_low(double changed_part, std::uint64_t let_go) const;
+    bool is_low(double updated_fraction, std::uint64_t let_go) const;
     /// Returns the tokens that are let go at once to make room.
     double tokens_to_let_go() const;
 
--- a/src/include/crosslink/membership/news_page.h
+++ b/src/include/crosslink/membership/change_page.h
@@ -13,7 +13,7 @@
 
 /// One key of the platform's store as it was written, in the platform's own
 /// form: instances hand it on unread.
-struct NewsEntry {
+struct KeyChange {
     std::string key;
     std::optional<std::string> value; ///< Nothing where the key is gone.
     std::uint64_t revision = 0;       ///< Of the store, at this change.
@@ -21,11 +21,11 @@
 
 /// Changes of the platform's store in the order in which they were made.
 /// Revisions are the store's, so that pages from any source fit together.
-struct NewsPage {
-    std::uint64_t since = 0; ///< The revision that the page goes on from.
-    std::uint64_t place = 0; ///< The revision up to which it tells all.
-    bool whole = false;      ///< All there is; `since` counts for nothing.
-    std::vector<NewsEntry> entries;
+struct ChangePage {
+    std::uint64_t since = 0;    ///< The revision that the page goes on from.
+    std::uint64_t revision = 0; ///< The revision up to which it tells all.
+    bool is_snapshot = false;   ///< All there is; `since` counts for nothing.
+    std::vector<KeyChange> entries;
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/membership/duty_lease.h
+++ b/src/include/crosslink/membership/duty_lease.h
@@ -34,12 +34,12 @@
     /// percent; the rest is for acts that are already on their way.
     static constexpr double used_part = 0.65;
     /// Returns the part of a lease of `span` that its holder does not use.
-    static Micros unused(Micros span);
+    static Micros safety_margin(Micros span);
     /// Returns the time between taking a lease of `span` and the first act, so
     /// that the acts of two holders are `spacing` apart. The earlier one did
     /// nothing in the unused part of its lease; one that gives its lease back
     /// waits for as long first.
-    static Micros settle_time(Micros spacing, Micros span);
+    static Micros takeover_delay(Micros spacing, Micros span);
 
     /// True where the duty is this instance's at `now`.
     bool held(TimePoint now) const;
--- a/src/include/crosslink/membership/gossip.h
+++ b/src/include/crosslink/membership/gossip.h
@@ -13,7 +13,7 @@
 {
 
 /// A mark that an upstream leaves or is gone, told between instances.
-struct UpstreamMark {
+struct LeavingMark {
     std::string upstream; ///< Address of the upstream.
     std::uint64_t expires_in_ms = 0;
 };
@@ -21,8 +21,8 @@
 /// What two members tell each other in one exchange.
 struct GossipMessage {
     Member sender;
-    std::vector<Member> news;        ///< Members that changed; bounded.
-    std::vector<UpstreamMark> marks; ///< Upstreams that leave; bounded.
+    std::vector<Member> news;       ///< Members that changed; bounded.
+    std::vector<LeavingMark> marks; ///< Upstreams that leave; bounded.
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/membership/holder_history.h
+++ b/src/include/crosslink/membership/holder_history.h
@@ -27,12 +27,13 @@
     };
 
     /// Takes note that `address` is the holder from `now` on; empty for nobody.
-    void named(std::string_view address, TimePoint now);
+    void set_holder(std::string_view address, TimePoint now);
     /// Takes note that changes before `now` may have been missed.
-    void missed(TimePoint now);
+    void record_gap(TimePoint now);
 
     /// Takes over what another instance saw, which missed nothing since `from`
-    /// and has heard of all that this one had heard of at its last missed().
+    /// and has heard of all that this one had heard of at its last
+    /// record_gap().
     void learn(TimePoint from, std::span<const Ended> ended);
     /// Returns since when nothing is missed.
     TimePoint from() const { return m_from; }
@@ -42,7 +43,7 @@
     /// Returns the holder that was named last; empty for nobody.
     const std::string& holder() const { return m_holder; }
     /// True where no holder is missed that ended within `grace` before `now`.
-    bool covers(Micros grace, TimePoint now) const;
+    bool is_complete(Micros grace, TimePoint now) const;
     /// Returns the earlier holders that ended within `grace` before `now`.
     std::vector<std::string> recent(Micros grace, TimePoint now) const;
 
--- a/src/include/crosslink/membership/lease_renewal.h
+++ b/src/include/crosslink/membership/lease_renewal.h
@@ -22,9 +22,9 @@
     Micros pause() const { return m_span / 5; }
     /// Returns how long a try waits for its answer; for a lease of 2 s twice
     /// what a slow platform takes.
-    Micros longest_try() const { return m_span / 5; }
+    Micros attempt_timeout() const { return m_span / 5; }
     /// Returns the time between a try that failed and the next.
-    Micros pause_after_failure() const { return m_span / 20; }
+    Micros retry_delay() const { return m_span / 20; }
 
 private:
     Micros m_span;
--- a/src/include/crosslink/membership/platform_reach.h
+++ b/src/include/crosslink/membership/platform_availability.h
@@ -16,11 +16,11 @@
 /// can't be brought to new weights: a bound on that does not count this time.
 /// Where it was counted, 76 in 100 calls were served on a day with a rollout
 /// and the platform away for 6 s, 87 where it is not.
-class PlatformReach
+class PlatformAvailability
 {
 public:
     /// Orders are given again `settle` after the platform's return.
-    explicit PlatformReach(Micros settle) : m_settle(settle) {}
+    explicit PlatformAvailability(Micros settle) : m_settle(settle) {}
 
     /// Takes note that this instance gets no answer of the platform.
     void lost(TimePoint now);
@@ -34,7 +34,7 @@
     bool in_reach() const { return !m_lost_at; }
     /// Returns the time between `from` and `now` in which orders could be
     /// given.
-    Micros counted(TimePoint from, TimePoint now) const;
+    Micros available_time(TimePoint from, TimePoint now) const;
 
 private:
     /// A time in which no order could be given.
--- a/src/include/crosslink/ports/duty_registry.h
+++ b/src/include/crosslink/ports/duty_registry.h
@@ -31,9 +31,9 @@
     virtual ~DutyRegistry() = default;
 
     /// Takes the lease of `duty` for this instance at `address`, or extends
-    /// it where this instance holds it, within LeaseRenewal::longest_try(). A
-    /// lease of an earlier process at this address is replaced: that process is
-    /// gone. Nothing where another instance holds it.
+    /// it where this instance holds it, within LeaseRenewal::attempt_timeout().
+    /// A lease of an earlier process at this address is replaced: that process
+    /// is gone. Nothing where another instance holds it.
     virtual std::optional<GrantedLease>
     hold(std::string_view duty, std::string_view address, Micros span) = 0;
     /// Gives the lease back, where this instance holds it.
--- a/src/include/crosslink/ports/fleet_feed.h
+++ b/src/include/crosslink/ports/fleet_feed.h
@@ -6,8 +6,8 @@
 #include <crosslink/base/time.h>
 #include <crosslink/forward/runner_table.h>
 #include <crosslink/forward/service_map.h>
+#include <crosslink/membership/change_page.h>
 #include <crosslink/membership/instance_info.h>
-#include <crosslink/membership/news_page.h>
 
 #include <cstdint>
 #include <memory>
@@ -94,13 +94,13 @@
     virtual ~FleetFeed() = default;
 
     /// Returns all there is now.
-    virtual NewsPage read() = 0;
+    virtual ChangePage read() = 0;
     /// Waits up to `longest` for changes after `place`. Where the platform
     /// has forgotten them, returns all there is.
-    virtual NewsPage wait(std::uint64_t place, Micros longest) = 0;
+    virtual ChangePage wait(std::uint64_t place, Micros longest) = 0;
     /// Returns what the entries of `page` mean, in their order. Those that mean
     /// nothing here, or can't be read, are left out; the latter are logged.
-    virtual std::vector<FleetChange> decode(const NewsPage& page) const = 0;
+    virtual std::vector<FleetChange> decode(const ChangePage& page) const = 0;
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/ports/runner_orders.h
+++ b/src/include/crosslink/ports/runner_orders.h
@@ -14,11 +14,11 @@
 
 /// A runner's own word on its weights.
 struct RunnerReport {
-    std::uint64_t version = 0; ///< Of the model asked for; 0 where absent.
-    std::uint64_t born = 0;    ///< Its incarnation; 0 where it is not told.
-    bool busy = false;         ///< An order is being carried out.
-    std::uint64_t orders = 0;  ///< Orders that it took since its start.
-    bool leaving = false;      ///< It says that it will end.
+    std::uint64_t version = 0;  ///< Of the model asked for; 0 where absent.
+    std::uint64_t start_ms = 0; ///< Its incarnation; 0 where it is not told.
+    bool busy = false;          ///< An order is being carried out.
+    std::uint64_t orders = 0;   ///< Orders that it took since its start.
+    bool leaving = false;       ///< It says that it will end.
 };
 
 /// Orders to runners. Calls block and do not throw: what can't be reached is
--- a/src/include/crosslink/relay/relay.h
+++ b/src/include/crosslink/relay/relay.h
@@ -13,7 +13,7 @@
 {
 
 /// What is to be done with a frame.
-enum class RelayStep {
+enum class RelayAction {
     Forward, ///< It is the next token of the answer: send it to the caller.
     Finish,  ///< As Forward, and the answer is whole.
     Drop,    ///< Of another attempt, or already relayed.
@@ -32,7 +32,7 @@
     /// Makes `run_id` the current attempt; frames of older ones are dropped.
     void begin_attempt(std::string_view run_id);
     /// Decides on `frame`; on Forward and Finish its text joins text().
-    RelayStep take(const EngineFrame& frame);
+    RelayAction take(const EngineFrame& frame);
 
     /// Returns the number of tokens relayed so far.
     std::uint32_t next_index() const { return m_next_index; }
--- a/src/include/crosslink/route/engine_table.h
+++ b/src/include/crosslink/route/engine_table.h
@@ -60,8 +60,8 @@
     /// leaving ones are marked.
     void sync(std::span<const ListedEngine> listed, TimePoint now);
     /// Takes in a load report.
-    void reported(std::string_view address, const EngineLoad& load,
-                  TimePoint now);
+    void update_load(std::string_view address, const EngineLoad& load,
+                     TimePoint now);
     /// Takes note that an engine does not report: it gets no work until it
     /// does again.
     void lost(std::string_view address);
--- a/src/include/crosslink/route/link_table.h
+++ b/src/include/crosslink/route/link_table.h
@@ -17,9 +17,9 @@
 /// One link as it is known.
 struct LinkState {
     std::string store;
-    double bytes_per_second = 0; ///< As learned.
-    std::uint64_t under_way = 0; ///< Bytes being fetched.
-    std::uint64_t fetched = 0;   ///< Bytes fetched whole so far.
+    double bytes_per_second = 0;       ///< As learned.
+    std::uint64_t bytes_in_flight = 0; ///< Bytes being fetched.
+    std::uint64_t fetched = 0;         ///< Bytes fetched whole so far.
 };
 
 /// What is known of the links over which kept KV is fetched, one per store:
@@ -45,7 +45,7 @@
 private:
     struct Link {
         double bytes_per_second;
-        std::uint64_t under_way = 0;
+        std::uint64_t bytes_in_flight = 0;
         std::uint64_t fetched = 0;
     };
 
--- a/src/include/crosslink/route/router.h
+++ b/src/include/crosslink/route/router.h
@@ -55,8 +55,8 @@
 struct RouteChoice {
     std::string engine;            ///< Address.
     std::size_t cached_blocks = 0; ///< Believed in the engine's own cache.
-    std::size_t fetch_to = 0; ///< Blocks cached_blocks..fetch_to are fetched.
-    Micros expected{0};       ///< Expected time to first token.
+    std::size_t fetch_end = 0; ///< Blocks cached_blocks..fetch_end are fetched.
+    Micros expected{0};        ///< Expected time to first token.
     std::uint64_t compute_tokens = 0; ///< Tokens that must be computed.
 };
 
--- a/src/include/crosslink/weights/rollout_record.h
+++ b/src/include/crosslink/weights/rollout_record.h
@@ -33,7 +33,7 @@
 
     /// Lets `history` count a version without a mark as named no later than
     /// `limit` before `now`.
-    void tell(WeightsHistory& history, Micros limit, TimePoint now) const;
+    void apply_to(WeightsHistory& history, Micros limit, TimePoint now) const;
     /// Returns the versions of `history` that are to be recorded.
     std::vector<std::uint64_t> missing(const WeightsHistory& history) const;
 
--- a/src/include/crosslink/weights/weights_history.h
+++ b/src/include/crosslink/weights/weights_history.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include <crosslink/base/time.h>
-#include <crosslink/membership/platform_reach.h>
+#include <crosslink/membership/platform_availability.h>
 
 #include <cstdint>
 #include <optional>
@@ -51,14 +51,14 @@
     /// where none was.
     std::optional<TimePoint> replaced_at(std::uint64_t version) const;
     /// Returns what is left of `bound` since `version`, one of them, was named,
-    /// counted as for least().
+    /// counted as for minimum_version().
     Micros left(std::uint64_t version, Micros bound, TimePoint now,
-                const PlatformReach& reach) const;
+                const PlatformAvailability& reach) const;
     /// Returns the least version that a call may begin on, where one must
     /// have given way `bound` after a newer one was named, without the time in
     /// which the platform was away, and where the record of rollouts tells so.
-    std::uint64_t least(Micros bound, TimePoint now,
-                        const PlatformReach& reach) const;
+    std::uint64_t minimum_version(Micros bound, TimePoint now,
+                                  const PlatformAvailability& reach) const;
 
 private:
     /// Returns the place of `version`, or of the first one after it.
--- a/src/include/crosslink/weights/weights_plan.h
+++ b/src/include/crosslink/weights/weights_plan.h
@@ -21,17 +21,17 @@
 
 /// What became of an order to a runner.
 enum class OrderOutcome {
-    Accepted, ///< It is being carried out.
-    InForce,  ///< The runner has the weights already.
-    Busy,     ///< Another order is under way, or the state was another.
-    Refused,  ///< It will not be carried out.
-    Unknown,  ///< No answer: it may be carried out, also later.
+    Accepted,      ///< It is being carried out.
+    AlreadyLoaded, ///< The runner has the weights already.
+    Busy,          ///< Another order is under way, or the state was another.
+    Refused,       ///< It will not be carried out.
+    Unknown,       ///< No answer: it may be carried out, also later.
 };
 
 /// An order to load new weights.
 struct WeightsOrder {
     std::string runner;
-    std::uint64_t born = 0; ///< Its incarnation.
+    std::uint64_t start_ms = 0; ///< Its incarnation.
     std::string address;
     std::string model;
     std::uint64_t version = 0;
@@ -54,7 +54,7 @@
     std::vector<WeightsOrder> due(const RunnerTable& runners, TimePoint now);
     /// Takes note that an order of due() was not given after all. It is due
     /// again a little later.
-    void not_given(const WeightsOrder& order, TimePoint now);
+    void not_sent(const WeightsOrder& order, TimePoint now);
     /// Takes note of an order's outcome.
     void ordered(const WeightsOrder& order, OrderOutcome outcome,
                  TimePoint now);
@@ -69,10 +69,10 @@
                   TimePoint now);
     /// Takes note that a runner gave no answer on its state. It may carry out
     /// its order all the same, but others need not wait for it.
-    void unanswered(const WeightsOrder& order);
+    void report_failed(const WeightsOrder& order);
     /// Returns the part, 0 to 1, of the listed runners that have the newest
     /// weights of each model.
-    double changed_part(const RunnerTable& runners) const;
+    double updated_fraction(const RunnerTable& runners) const;
 
 private:
     struct Open {
--- a/src/libcrosslink/admit/admission.cpp
+++ b/src/libcrosslink/admit/admission.cpp
@@ -28,13 +28,13 @@
                         std::uint64_t tokens, double share, TimePoint now) const
 {
     const double most_open =
-        std::max(1.0, std::ceil(account.terms->limits.concurrent * share));
+        std::max(1.0, std::ceil(account.policy->limits.concurrent * share));
     if (state.open >= most_open)
         throw Error(ErrorCode::ConcurrencyLimited,
                     "too many requests of this account at once",
                     RunState::NotDispatched, come_back);
     const double request_rate =
-        account.terms->limits.requests_per_second * share;
+        account.policy->limits.requests_per_second * share;
     const double request_burst = std::max(1.0, request_rate * burst_seconds);
     if (!state.requests.take(1, request_rate, request_burst, now))
         throw Error(ErrorCode::RateLimited,
@@ -42,7 +42,7 @@
                     RunState::NotDispatched,
                     state.requests.wait_for(1, request_rate, request_burst));
     const auto cost = static_cast<double>(tokens);
-    const double token_rate = account.terms->limits.tokens_per_second * share;
+    const double token_rate = account.policy->limits.tokens_per_second * share;
     const double token_burst = token_rate * burst_seconds;
     if (!state.tokens.take(cost, token_rate, token_burst, now)) {
         state.requests.give_back(1);
@@ -68,7 +68,7 @@
     const double start = std::max(m_virtual_time, state.last_finish);
     state.last_finish =
         start + static_cast<double>(std::max<std::uint64_t>(tokens, 1)) /
-                    account.terms->weight;
+                    account.policy->weight;
     ++state.open;
     if (!must_wait) {
         m_running.emplace(ticket, account.name);
--- a/src/libcrosslink/admit/admission_test.cpp
+++ b/src/libcrosslink/admit/admission_test.cpp
@@ -14,10 +14,10 @@
 namespace
 {
 
-AccountTerms
+AccountPolicy
 open_terms()
 {
-    AccountTerms terms;
+    AccountPolicy terms;
     terms.limits.requests_per_second = 1e5;
     terms.limits.tokens_per_second = 1e9;
     terms.limits.concurrent = 10'000;
@@ -25,15 +25,15 @@
 }
 
 ClientAccount
-account(const std::string& name, const AccountTerms& terms = open_terms())
+account(const std::string& name, const AccountPolicy& terms = open_terms())
 {
-    return {name, {}, std::make_shared<const AccountTerms>(terms)};
+    return {name, {}, std::make_shared<const AccountPolicy>(terms)};
 }
 
 ClientAccount
 weighted(const std::string& name, double weight)
 {
-    AccountTerms terms = open_terms();
+    AccountPolicy terms = open_terms();
     terms.weight = weight;
     return account(name, terms);
 }
@@ -56,7 +56,7 @@
 TEST_CASE("limits refuse at once and tell when to come back")
 {
     Admission admission({});
-    AccountTerms terms = open_terms();
+    AccountPolicy terms = open_terms();
     terms.limits.requests_per_second = 1;
     const ClientAccount slow = account("slow", terms);
     admission.ask(slow, 1, 1, TimePoint{});
--- a/src/libcrosslink/base/invariants.cpp
+++ b/src/libcrosslink/base/invariants.cpp
@@ -53,7 +53,7 @@
 }
 
 void
-require(Invariant invariant, bool holds)
+check_invariant(Invariant invariant, bool holds)
 {
     if (holds)
         return;
--- a/src/libcrosslink/base/json.cpp
+++ b/src/libcrosslink/base/json.cpp
@@ -73,7 +73,7 @@
 }
 
 std::uint64_t
-json_number(const Json::Value& object, const char* name, std::uint64_t fallback)
+json_uint64(const Json::Value& object, const char* name, std::uint64_t fallback)
 {
     const Json::Value& value = field(object, name);
     return value.isUInt64() ? value.asUInt64() : fallback;
@@ -82,32 +82,31 @@
 Micros
 json_span(const Json::Value& object, const char* name)
 {
-    return Micros(static_cast<Micros::rep>(json_number(object, name)));
+    return Micros(static_cast<Micros::rep>(json_uint64(object, name)));
 }
 
 std::uint32_t
-json_small_number(const Json::Value& object, const char* name,
-                  std::uint32_t fallback)
+json_uint32(const Json::Value& object, const char* name, std::uint32_t fallback)
 {
-    return static_cast<std::uint32_t>(json_number(object, name, fallback));
+    return static_cast<std::uint32_t>(json_uint64(object, name, fallback));
 }
 
 double
-json_real(const Json::Value& object, const char* name, double fallback)
+json_double(const Json::Value& object, const char* name, double fallback)
 {
     const Json::Value& value = field(object, name);
     return value.isNumeric() ? value.asDouble() : fallback;
 }
 
 bool
-json_flag(const Json::Value& object, const char* name, bool fallback)
+json_bool(const Json::Value& object, const char* name, bool fallback)
 {
     const Json::Value& value = field(object, name);
     return value.isBool() ? value.asBool() : fallback;
 }
 
 std::vector<std::string>
-texts_from_json(const Json::Value& list)
+strings_from_json(const Json::Value& list)
 {
     return list_from_json(
         list, [](const Json::Value& item) { return item.asString(); });
--- a/src/libcrosslink/base/json_test.cpp
+++ b/src/libcrosslink/base/json_test.cpp
@@ -41,24 +41,24 @@
 {
     const Json::Value object = parse_json("{}");
     CHECK(list_from_json(object["list"], twice).empty());
-    CHECK(texts_from_json(object["list"]).empty());
+    CHECK(strings_from_json(object["list"]).empty());
 }
 
 TEST_CASE("texts come back as they were")
 {
     const std::vector<std::string> texts{"b", "", "a"};
-    CHECK(json_text(json_texts(texts)) == R"(["b","","a"])");
-    CHECK(texts_from_json(json_texts(texts)) == texts);
+    CHECK(json_text(json_strings(texts)) == R"(["b","","a"])");
+    CHECK(strings_from_json(json_strings(texts)) == texts);
 }
 
 TEST_CASE("a number of 32 bits is read or its fallback taken")
 {
     const Json::Value object =
         parse_json(R"({"n":7,"text":"7","large":4294967297})");
-    CHECK(json_small_number(object, "n") == 7);
-    CHECK(json_small_number(object, "text", 3) == 3);
-    CHECK(json_small_number(object, "none") == 0);
-    CHECK(json_small_number(object, "large") == 1);
+    CHECK(json_uint32(object, "n") == 7);
+    CHECK(json_uint32(object, "text", 3) == 3);
+    CHECK(json_uint32(object, "none") == 0);
+    CHECK(json_uint32(object, "large") == 1);
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/base/number_test.cpp
+++ b/src/libcrosslink/base/number_test.cpp
@@ -12,30 +12,30 @@
 
 TEST_CASE("a number is read from the beginning of a text")
 {
-    CHECK(leading_number<std::uint64_t>("17") == 17);
-    CHECK(leading_number<std::uint64_t>("17, max=5") == 17);
-    CHECK(leading_number<std::int64_t>("-3") == -3);
-    CHECK_FALSE(leading_number<std::uint64_t>("-3"));
-    CHECK_FALSE(leading_number<std::uint64_t>(""));
-    CHECK_FALSE(leading_number<std::uint64_t>("x1"));
-    CHECK_FALSE(leading_number<std::uint64_t>(" 1"));
-    CHECK_FALSE(leading_number<std::uint64_t>("+1"));
+    CHECK(parse_leading_integer<std::uint64_t>("17") == 17);
+    CHECK(parse_leading_integer<std::uint64_t>("17, max=5") == 17);
+    CHECK(parse_leading_integer<std::int64_t>("-3") == -3);
+    CHECK_FALSE(parse_leading_integer<std::uint64_t>("-3"));
+    CHECK_FALSE(parse_leading_integer<std::uint64_t>(""));
+    CHECK_FALSE(parse_leading_integer<std::uint64_t>("x1"));
+    CHECK_FALSE(parse_leading_integer<std::uint64_t>(" 1"));
+    CHECK_FALSE(parse_leading_integer<std::uint64_t>("+1"));
 }
 
 TEST_CASE("a whole text is a number, or it is none")
 {
-    CHECK(whole_number<std::uint64_t>("17") == 17);
-    CHECK(whole_number<std::uint64_t>("0017") == 17);
-    CHECK_FALSE(whole_number<std::uint64_t>("17 "));
-    CHECK_FALSE(whole_number<std::uint64_t>("1x"));
-    CHECK_FALSE(whole_number<std::uint64_t>(""));
+    CHECK(parse_integer<std::uint64_t>("17") == 17);
+    CHECK(parse_integer<std::uint64_t>("0017") == 17);
+    CHECK_FALSE(parse_integer<std::uint64_t>("17 "));
+    CHECK_FALSE(parse_integer<std::uint64_t>("1x"));
+    CHECK_FALSE(parse_integer<std::uint64_t>(""));
 }
 
 TEST_CASE("a number that does not fit is none")
 {
-    CHECK(whole_number<std::uint32_t>("4294967295") == 4'294'967'295U);
-    CHECK_FALSE(whole_number<std::uint32_t>("4294967296"));
-    CHECK_FALSE(leading_number<std::uint32_t>("4294967296 "));
+    CHECK(parse_integer<std::uint32_t>("4294967295") == 4'294'967'295U);
+    CHECK_FALSE(parse_integer<std::uint32_t>("4294967296"));
+    CHECK_FALSE(parse_leading_integer<std::uint32_t>("4294967296 "));
 }
 
 TEST_CASE("spaces before a text are passed over")
--- a/src/libcrosslink/claim/answer_keeper.cpp
+++ b/src/libcrosslink/claim/answer_cache.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/claim/answer_keeper.h>
+#include <crosslink/claim/answer_cache.h>
 
 namespace crosslink
 {
@@ -20,12 +20,12 @@
 
 } // namespace
 
-AnswerKeeper::AnswerKeeper(std::uint64_t most_bytes) : m_most_bytes(most_bytes)
+AnswerCache::AnswerCache(std::uint64_t most_bytes) : m_most_bytes(most_bytes)
 {
 }
 
 void
-AnswerKeeper::begin(const Digest& key, const Digest& fingerprint)
+AnswerCache::begin(const Digest& key, const Digest& fingerprint)
 {
     HeldAnswer& held = m_answers[key];
     held.state = HeldAnswer::State::Running;
@@ -33,7 +33,7 @@
 }
 
 void
-AnswerKeeper::finish(const Digest& key, PlainAnswer answer)
+AnswerCache::finish(const Digest& key, PlainAnswer answer)
 {
     HeldAnswer& held = m_answers[key];
     held.state = HeldAnswer::State::Finished;
@@ -45,7 +45,7 @@
 }
 
 void
-AnswerKeeper::drop_oldest()
+AnswerCache::drop_oldest()
 {
     const auto found = m_answers.find(m_order.front());
     m_order.pop_front();
@@ -56,7 +56,7 @@
 }
 
 void
-AnswerKeeper::forget(const Digest& key)
+AnswerCache::forget(const Digest& key)
 {
     const auto found = m_answers.find(key);
     if (found == m_answers.end() ||
@@ -66,7 +66,7 @@
 }
 
 HeldAnswer
-AnswerKeeper::find(const Digest& key) const
+AnswerCache::find(const Digest& key) const
 {
     const auto found = m_answers.find(key);
     return found == m_answers.end() ? HeldAnswer{} : found->second;
--- a/src/libcrosslink/claim/claim_slice.cpp
+++ b/src/libcrosslink/claim/claim_slice.cpp
@@ -105,7 +105,7 @@
     value["floor"] = Json::UInt64(floor);
     value["segments"] = json_list(segments, segment_to_value);
     value["recent"] = claims_to_value(recent);
-    value["released"] = json_texts(released);
+    value["released"] = json_strings(released);
     return json_text(value);
 }
 
@@ -114,10 +114,10 @@
 {
     const Json::Value value = parse_json(text);
     ClaimHead head;
-    head.floor = json_number(value, "floor");
+    head.floor = json_uint64(value, "floor");
     head.segments = list_from_json(value["segments"], segment_from_value);
     head.recent = claims_from_value(value["recent"]);
-    head.released = texts_from_json(value["released"]);
+    head.released = strings_from_json(value["released"]);
     return head;
 }
 
--- a/src/libcrosslink/configuration/account_reader.cpp
+++ b/src/libcrosslink/configuration/account_reader.cpp
@@ -82,12 +82,12 @@
 }
 
 void
-read_undated_keys(FieldReader& reader, UndatedKeys& value)
+read_undated_keys(FieldReader& reader, UndatedKeyPolicy& value)
 {
     std::string text;
     reader.text("undated_keys", text);
     if (text == "remember")
-        value = UndatedKeys::Remember;
+        value = UndatedKeyPolicy::Remember;
     else if (!text.empty() && text != "refuse")
         reader.wrong("undated_keys", "must be \"refuse\" or \"remember\"");
 }
@@ -95,7 +95,7 @@
 } // namespace
 
 void
-read_account_terms(FieldReader& reader, AccountTerms& terms)
+read_account_policy(FieldReader& reader, AccountPolicy& terms)
 {
     reader.objects("models", [&terms](FieldReader& item) {
         read_model(item, terms.models.emplace_back());
--- a/src/libcrosslink/configuration/client_account.cpp
+++ b/src/libcrosslink/configuration/client_account.cpp
@@ -25,7 +25,7 @@
 } // namespace
 
 const ModelGrant*
-AccountTerms::grant_for(std::string_view model) const
+AccountPolicy::grant_for(std::string_view model) const
 {
     for (const ModelGrant& grant : models)
         if (grant.model == model)
@@ -34,7 +34,7 @@
 }
 
 const PlainServiceGrant*
-AccountTerms::service_for(std::string_view path) const
+AccountPolicy::service_for(std::string_view path) const
 {
     const PlainServiceGrant* best = nullptr;
     for (const PlainServiceGrant& grant : plain_services) {
@@ -47,7 +47,7 @@
 }
 
 const TrafficSplit*
-AccountTerms::split_for(std::string_view call_class) const
+AccountPolicy::split_for(std::string_view call_class) const
 {
     for (const TrafficSplit& split : splits)
         if (split.call_class == call_class)
--- a/src/libcrosslink/configuration/configuration_head.cpp
+++ b/src/libcrosslink/configuration/configuration_head.cpp
@@ -30,10 +30,10 @@
 change_from_json(const Json::Value& value)
 {
     ConfigurationChange change;
-    change.revision = json_number(value, "revision");
+    change.revision = json_uint64(value, "revision");
     change.change_id = json_string(value, "change_id");
     change.author = json_string(value, "author");
-    change.applied_at = json_number(value, "applied_at");
+    change.applied_at = json_uint64(value, "applied_at");
     return change;
 }
 
@@ -86,7 +86,7 @@
 {
     const Json::Value value = parse_json(text);
     ConfigurationHead head;
-    head.revision = json_number(value, "revision");
+    head.revision = json_uint64(value, "revision");
     if (head.revision == 0 || !value["parts"].isObject())
         throw Error(ErrorCode::TemplateInvalid, "not a configuration head");
     for (const std::string& name : value["parts"].getMemberNames())
--- a/src/libcrosslink/configuration/configuration_state.cpp
+++ b/src/libcrosslink/configuration/configuration_state.cpp
@@ -8,20 +8,21 @@
 {
 
 bool
-ConfigurationState::offer(Held candidate)
+ConfigurationState::set_if_newer(ConfigurationPtr candidate)
 {
     const std::lock_guard lock(m_mutex);
     if (!candidate)
         return false;
     if (m_current && candidate->revision() <= m_current->revision())
         return false;
-    require(Invariant::RevisionNeverReverts,
-            !m_current || candidate->revision() > m_current->revision());
+    check_invariant(Invariant::RevisionNeverReverts,
+                    !m_current ||
+                        candidate->revision() > m_current->revision());
     m_current = std::move(candidate);
     return true;
 }
 
-ConfigurationState::Held
+ConfigurationState::ConfigurationPtr
 ConfigurationState::current() const
 {
     const std::lock_guard lock(m_mutex);
@@ -36,7 +37,7 @@
 }
 
 bool
-may_start_serving(const StartEvidence& evidence, std::uint64_t revision)
+may_start_serving(const StartupReplies& evidence, std::uint64_t revision)
 {
     if (revision == 0)
         return false;
--- a/src/libcrosslink/configuration/configuration_state_test.cpp
+++ b/src/libcrosslink/configuration/configuration_state_test.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-ConfigurationState::Held
+ConfigurationState::ConfigurationPtr
 revision(std::uint64_t number)
 {
     ConfigurationHead head;
@@ -31,7 +31,7 @@
         const auto offers = *rc::gen::container<std::vector<std::uint64_t>>(
             rc::gen::inRange<std::uint64_t>(1, 20));
         for (const std::uint64_t offer : offers) {
-            const bool taken = state.offer(revision(offer));
+            const bool taken = state.set_if_newer(revision(offer));
             RC_ASSERT(taken == (offer > highest));
             highest = std::max(highest, offer);
             RC_ASSERT(state.revision() == highest);
@@ -52,7 +52,7 @@
 
 TEST_CASE("a start without the platform waits for all of the zone")
 {
-    StartEvidence evidence;
+    StartupReplies evidence;
     CHECK_FALSE(may_start_serving(evidence, 3));
     evidence.zone_members = 2;
     evidence.zone_answered = 1;
--- a/src/libcrosslink/configuration/template_set.cpp
+++ b/src/libcrosslink/configuration/template_set.cpp
@@ -104,11 +104,11 @@
         found->second.body["parameters"], given, in_account);
     if (m_mistakes.size() != before)
         return false;
-    account.terms = terms_of(found->second, values, name, cache);
-    return account.terms != nullptr;
+    account.policy = terms_of(found->second, values, name, cache);
+    return account.policy != nullptr;
 }
 
-std::shared_ptr<const AccountTerms>
+std::shared_ptr<const AccountPolicy>
 TemplateSet::terms_of(const Declared& declared, const Json::Value& values,
                       const std::string& account, TermsCache& cache)
 {
@@ -125,8 +125,8 @@
     const Json::Value body =
         pvt::fill_parameters(declared.body["account"], values, report);
     pvt::FieldReader reader(body, declared.place + ".account", report);
-    auto terms = std::make_shared<AccountTerms>();
-    pvt::read_account_terms(reader, *terms);
+    auto terms = std::make_shared<AccountPolicy>();
+    pvt::read_account_policy(reader, *terms);
     reader.finish();
     if (m_mistakes.size() == before)
         at->second = std::move(terms);
--- a/src/libcrosslink/configuration/template_set_test.cpp
+++ b/src/libcrosslink/configuration/template_set_test.cpp
@@ -47,9 +47,9 @@
     const auto accounts = set.accounts();
     REQUIRE(set.mistakes().empty());
     REQUIRE(accounts.size() == 2);
-    CHECK(accounts[0].terms->limits.requests_per_second == 5);
-    CHECK(accounts[1].terms->limits.requests_per_second == 20);
-    CHECK(accounts[1].terms->grant_for("m")->version == "v1");
+    CHECK(accounts[0].policy->limits.requests_per_second == 5);
+    CHECK(accounts[1].policy->limits.requests_per_second == 20);
+    CHECK(accounts[1].policy->grant_for("m")->version == "v1");
 }
 
 TEST_CASE("accounts with the same template and parameters share their terms")
@@ -60,8 +60,8 @@
            {"name": "c", "template": "cooks", "parameters": {"rate": 6}})");
     const auto accounts = set.accounts();
     REQUIRE(accounts.size() == 3);
-    CHECK(accounts[0].terms == accounts[1].terms);
-    CHECK(accounts[0].terms != accounts[2].terms);
+    CHECK(accounts[0].policy == accounts[1].policy);
+    CHECK(accounts[0].policy != accounts[2].policy);
 }
 
 TEST_CASE("a whole number may stand where the range is of real numbers")
--- a/src/libcrosslink/forward/named_limit.cpp
+++ b/src/libcrosslink/forward/advertised_limit.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/forward/named_limit.h>
+#include <crosslink/forward/advertised_limit.h>
 
 namespace crosslink
 {
@@ -16,7 +16,7 @@
 } // namespace
 
 bool
-NamedLimit::answered(double per_second, std::uint64_t known, TimePoint now)
+AdvertisedLimit::answered(double per_second, std::uint64_t known, TimePoint now)
 {
     if (known != m_change)
         return false;
@@ -31,7 +31,7 @@
 }
 
 bool
-NamedLimit::told(const LimitNews& news, TimePoint now)
+AdvertisedLimit::told(const LimitUpdate& news, TimePoint now)
 {
     const bool is_newer = news.change > m_change;
     const bool is_lower =
@@ -50,7 +50,7 @@
 }
 
 bool
-NamedLimit::is_news(TimePoint now) const
+AdvertisedLimit::is_news(TimePoint now) const
 {
     return in_force() || (m_change > 0 && now < m_changed_at + end_told);
 }
--- a/src/libcrosslink/forward/named_limit_test.cpp
+++ b/src/libcrosslink/forward/advertised_limit_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/forward/named_limit.h>
+#include <crosslink/forward/advertised_limit.h>
 
 #include <crosslink/forward/rate_share.h>
 
@@ -19,8 +19,8 @@
     return TimePoint(std::chrono::milliseconds(millis));
 }
 
-LimitNews
-news_of(const NamedLimit& limit)
+LimitUpdate
+news_of(const AdvertisedLimit& limit)
 {
     return {"r", 1, limit.per_second(), limit.change(), limit.heard()};
 }
@@ -29,7 +29,7 @@
 
 TEST_CASE("a limit holds from the answer that names it to the one that doesn't")
 {
-    NamedLimit limit;
+    AdvertisedLimit limit;
     CHECK_FALSE(limit.in_force());
     CHECK_FALSE(limit.answered(no_rate_limit, 0, at(0)));
     CHECK(limit.answered(1.5, 0, at(10)));
@@ -42,7 +42,7 @@
 
 TEST_CASE("an answer to a call that was sent before the change says nothing")
 {
-    NamedLimit limit;
+    AdvertisedLimit limit;
     limit.answered(1.5, 0, at(0));
     CHECK_FALSE(limit.answered(no_rate_limit, 0, at(10)));
     CHECK(limit.per_second() == 1.5);
@@ -54,12 +54,12 @@
 
 TEST_CASE("what another instance told later, and earlier, comes in any order")
 {
-    NamedLimit first;
+    AdvertisedLimit first;
     first.answered(1.5, 0, at(0));
-    const LimitNews named = news_of(first);
+    const LimitUpdate named = news_of(first);
     first.answered(no_rate_limit, 1, at(10));
-    const LimitNews ended = news_of(first);
-    NamedLimit second;
+    const LimitUpdate ended = news_of(first);
+    AdvertisedLimit second;
     CHECK(second.told(named, at(20)));
     CHECK(second.told(ended, at(30)));
     CHECK_FALSE(second.told(named, at(40)));
@@ -70,9 +70,9 @@
 
 TEST_CASE("of two changes that were heard apart the lower limit holds")
 {
-    NamedLimit first;
+    AdvertisedLimit first;
     first.answered(1.5, 0, at(0));
-    NamedLimit second;
+    AdvertisedLimit second;
     second.answered(4, 0, at(0));
     CHECK_FALSE(first.told(news_of(second), at(10)));
     CHECK(second.told(news_of(first), at(10)));
@@ -86,7 +86,7 @@
 
 TEST_CASE("others are told of a limit, and for a minute of its end")
 {
-    NamedLimit limit;
+    AdvertisedLimit limit;
     CHECK_FALSE(limit.is_news(at(0)));
     limit.answered(1.5, 0, at(0));
     CHECK(limit.is_news(at(3'600'000)));
--- a/src/libcrosslink/forward/crash_history.cpp
+++ b/src/libcrosslink/forward/crash_history.cpp
@@ -95,16 +95,16 @@
 /// A process ends once. Where its start is not known, a later one of the same
 /// id is told by the time.
 bool
-CrashHistory::is_same_end(const End& known, const BrokenCall& call)
+CrashHistory::is_same_end(const End& known, const InterruptedCall& call)
 {
-    if (known.runner != call.runner || known.born != call.born)
+    if (known.runner != call.runner || known.start_ms != call.start_ms)
         return false;
     const Micros apart = std::chrono::abs(known.ended_at - call.ended_at);
-    return call.born != 0 || apart < same_end;
+    return call.start_ms != 0 || apart < same_end;
 }
 
 bool
-CrashHistory::ended(const BrokenCall& call, TimePoint now)
+CrashHistory::ended(const InterruptedCall& call, TimePoint now)
 {
     if (call.ended_at + remembered < now)
         return false;
@@ -120,7 +120,7 @@
     if (request.ends.size() >= most_kept)
         request.ends.erase(request.ends.begin());
     request.ends.push_back(
-        {call.runner, call.born, call.again, call.ended_at, now});
+        {call.runner, call.start_ms, call.again, call.ended_at, now});
     request.last_at = std::max(request.last_at, call.ended_at);
     // Who told of the end knows of no answer since.
     if (!request.counts(request.ends.back()))
@@ -210,7 +210,7 @@
 /// Adds what was learned of `request` lately to `news`.
 void
 CrashHistory::add_news(const std::string& digest, const Request& request,
-                       TimePoint now, CrashNews& news)
+                       TimePoint now, CrashUpdate& news)
 {
     const Micros span = request.told_span();
     const auto is_new = [now, span](TimePoint learned_at) {
@@ -218,18 +218,18 @@
     };
     for (const End& end : request.ends)
         if (is_new(end.learned_at) && news.broken.size() < most_told)
-            news.broken.push_back(
-                {digest, end.runner, end.born, end.again, now - end.ended_at});
+            news.broken.push_back({digest, end.runner, end.start_ms, end.again,
+                                   now - end.ended_at});
     if (request.answered_at && is_new(request.answer_learned_at))
         news.answered.push_back({digest, now - *request.answered_at});
     if (request.is_held(now))
         news.held.push_back({digest, now - *request.held_at});
 }
 
-CrashNews
+CrashUpdate
 CrashHistory::news(TimePoint now) const
 {
-    CrashNews news;
+    CrashUpdate news;
     if (now >= m_news_until)
         return news;
     std::vector<const Requests::value_type*> suspects;
@@ -254,15 +254,15 @@
 }
 
 void
-CrashHistory::take(const CrashNews& news, TimePoint as_of, TimePoint now)
+CrashHistory::take(const CrashUpdate& news, TimePoint as_of, TimePoint now)
 {
-    for (const CrashNews::Broken& call : news.broken)
-        ended({call.request, call.runner, call.born, call.again,
+    for (const CrashUpdate::Broken& call : news.broken)
+        ended({call.request, call.runner, call.start_ms, call.again,
                as_of - call.since_end},
               now);
-    for (const CrashNews::Answered& answer : news.answered)
+    for (const CrashUpdate::Answered& answer : news.answered)
         answered(answer.request, as_of - answer.since, now);
-    for (const CrashNews::Held& item : news.held)
+    for (const CrashUpdate::Held& item : news.held)
         hold(item.request, as_of - item.since, now);
 }
 
--- a/src/libcrosslink/forward/crash_history_test.cpp
+++ b/src/libcrosslink/forward/crash_history_test.cpp
@@ -23,7 +23,7 @@
 }
 
 /// A call whose runner ended at `ended`.
-BrokenCall
+InterruptedCall
 broken(int runner, int ended, std::string_view digest = request)
 {
     return {std::string(digest), "runner-" + std::to_string(runner), 0, false,
@@ -31,10 +31,10 @@
 }
 
 /// The same, sent when another end was known.
-BrokenCall
+InterruptedCall
 broken_again(int runner, int ended)
 {
-    BrokenCall call = broken(runner, ended);
+    InterruptedCall call = broken(runner, ended);
     call.again = true;
     return call;
 }
@@ -108,8 +108,8 @@
     CHECK_FALSE(history.ended(broken(1, 1030), at(1200)));
     CHECK(history.ends(request) == 1);
     // A later process with the same id, by its start or by the time.
-    BrokenCall anew = broken(1, 1000);
-    anew.born = 7;
+    InterruptedCall anew = broken(1, 1000);
+    anew.start_ms = 7;
     CHECK(history.ended(anew, at(1200)));
     CHECK(history.ended(broken(1, 4000), at(4200)));
     CHECK(history.ends(request) == 3);
--- a/src/libcrosslink/forward/event_tracker.cpp
+++ b/src/libcrosslink/forward/event_tracker.cpp
@@ -26,7 +26,7 @@
             continue;
         line.remove_prefix(id_field.size());
         const auto number =
-            leading_number<std::uint64_t>(without_leading_spaces(line));
+            parse_leading_integer<std::uint64_t>(without_leading_spaces(line));
         if (number)
             return number;
     }
--- a/src/libcrosslink/forward/account_turns.cpp
+++ b/src/libcrosslink/forward/fair_share_tracker.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/forward/account_turns.h>
+#include <crosslink/forward/fair_share_tracker.h>
 
 #include <algorithm>
 #include <cmath>
@@ -28,8 +28,8 @@
 
 } // namespace
 
-AccountTurns::Use&
-AccountTurns::use_of(std::string_view service, std::string_view account)
+FairShareTracker::Use&
+FairShareTracker::use_of(std::string_view service, std::string_view account)
 {
     Accounts& accounts =
         m_services.try_emplace(std::string(service)).first->second;
@@ -37,15 +37,15 @@
 }
 
 void
-AccountTurns::asked(std::string_view service, std::string_view account,
-                    TimePoint now)
+FairShareTracker::asked(std::string_view service, std::string_view account,
+                        TimePoint now)
 {
     use_of(service, account).asked_at = now;
 }
 
 void
-AccountTurns::taken(std::string_view service, std::string_view account,
-                    TimePoint now)
+FairShareTracker::taken(std::string_view service, std::string_view account,
+                        TimePoint now)
 {
     Use& use = use_of(service, account);
     use.places = faded(use.places, now - use.counted_at) + 1;
@@ -53,8 +53,8 @@
 }
 
 bool
-AccountTurns::is_ahead(std::string_view service, std::string_view account,
-                       TimePoint now) const
+FairShareTracker::is_ahead(std::string_view service, std::string_view account,
+                           TimePoint now) const
 {
     const auto accounts = m_services.find(service);
     if (accounts == m_services.end())
--- a/src/libcrosslink/forward/account_turns_test.cpp
+++ b/src/libcrosslink/forward/fair_share_tracker_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/forward/account_turns.h>
+#include <crosslink/forward/fair_share_tracker.h>
 
 #include <catch2/catch.hpp>
 
@@ -21,7 +21,7 @@
 
 TEST_CASE("an account is ahead that got more places than the mean")
 {
-    AccountTurns turns;
+    FairShareTracker turns;
     for (const char* account : {"a", "b"})
         turns.asked("s", account, at(100'000));
     CHECK_FALSE(turns.is_ahead("s", "a", at(100'000)));
@@ -35,7 +35,7 @@
 
 TEST_CASE("an account is not ahead of those that ask for nothing")
 {
-    AccountTurns turns;
+    FairShareTracker turns;
     turns.asked("s", "b", at(100'000));
     turns.asked("s", "a", at(106'000));
     turns.taken("s", "a", at(106'000));
@@ -44,7 +44,7 @@
 
 TEST_CASE("places that were got long ago do not count")
 {
-    AccountTurns turns;
+    FairShareTracker turns;
     turns.taken("s", "a", at(0));
     for (const char* account : {"a", "b"})
         turns.asked("s", account, at(100'000));
--- a/src/libcrosslink/forward/load_board.cpp
+++ b/src/libcrosslink/forward/load_aggregator.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/forward/load_board.h>
+#include <crosslink/forward/load_aggregator.h>
 
 namespace crosslink
 {
@@ -38,8 +38,9 @@
 }
 
 void
-LoadBoard::told(std::string_view instance,
-                const std::map<std::string, RunnerLoad>& own, TimePoint now)
+LoadAggregator::told(std::string_view instance,
+                     const std::map<std::string, RunnerLoad>& own,
+                     TimePoint now)
 {
     expire(now);
     Told& told = m_instances[std::string(instance)];
@@ -50,7 +51,7 @@
 
 /// Drops what was told too long ago.
 void
-LoadBoard::expire(TimePoint now)
+LoadAggregator::expire(TimePoint now)
 {
     std::erase_if(m_instances, [&](const auto& item) {
         const bool is_old = now - item.second.at > load_holds;
@@ -61,7 +62,7 @@
 }
 
 std::map<std::string, RunnerLoad>
-LoadBoard::others(std::string_view instance, TimePoint now)
+LoadAggregator::others(std::string_view instance, TimePoint now)
 {
     expire(now);
     std::map<std::string, RunnerLoad> sum = m_sum;
--- a/src/libcrosslink/forward/load_board_test.cpp
+++ b/src/libcrosslink/forward/load_aggregator_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/forward/load_board.h>
+#include <crosslink/forward/load_aggregator.h>
 
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
@@ -19,7 +19,7 @@
     const auto at = [](int millis) {
         return TimePoint(std::chrono::milliseconds(millis));
     };
-    LoadBoard board;
+    LoadAggregator board;
     board.told("one", {{"r", {1, 100}}}, at(0));
     board.told("two", {{"r", {2, 200}}, {"q", {1, 1}}}, at(0));
     board.told("three", {{"r", {4, 400}}}, at(10));
@@ -35,7 +35,7 @@
 TEST_CASE("the sum is what all told last, whatever came before")
 {
     CHECK(rc::check("a board is the sum of its instances", [] {
-        LoadBoard board;
+        LoadAggregator board;
         std::map<std::string, std::map<std::string, RunnerLoad>> last;
         const auto words =
             *rc::gen::container<std::vector<std::pair<int, int>>>(
--- a/src/libcrosslink/forward/queue_limit.cpp
+++ b/src/libcrosslink/forward/queue_limit.cpp
@@ -24,7 +24,7 @@
 } // namespace
 
 Micros
-spread_return(Micros earliest, std::uint64_t random)
+jittered_retry_delay(Micros earliest, std::uint64_t random)
 {
     constexpr std::uint64_t steps = 1000;
     const double part =
@@ -45,7 +45,7 @@
     const Micros excess = call.expected_wait - allowed;
     if (excess.count() <= 0)
         return std::nullopt;
-    return std::max(least_return, spread_return(excess, random));
+    return std::max(min_retry_delay, jittered_retry_delay(excess, random));
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/forward/runner_choosing.cpp
+++ b/src/libcrosslink/forward/runner_choosing.cpp
@@ -143,7 +143,7 @@
 /// Returns for how long a runner's limit has been silent beyond what its shares
 /// account for; below 0 where it has not.
 Micros
-silence_beyond(const NamedLimit& limit, TimePoint now)
+silence_beyond(const AdvertisedLimit& limit, TimePoint now)
 {
     const auto silence =
         std::chrono::duration_cast<Micros>(now - limit.heard_at());
@@ -156,7 +156,7 @@
 bool
 asks_silent(const RunnerEntry& entry, const RunnerQuery& query)
 {
-    const Micros beyond = silence_beyond(entry.words.limit, query.now);
+    const Micros beyond = silence_beyond(entry.notices.limit, query.now);
     if (beyond.count() < 0)
         return false;
     const auto turns = std::min<std::int64_t>(beyond / asking_turn, most_turns);
@@ -174,7 +174,8 @@
 bool
 lost_contact_lately(const RunnerEntry& entry, TimePoint now)
 {
-    return entry.contact_lost_at && now < *entry.contact_lost_at + ending_time;
+    return entry.connection_failed_at &&
+           now < *entry.connection_failed_at + ending_time;
 }
 
 /// Returns whether a runner with a limit has said nothing for so long that the
@@ -183,8 +184,8 @@
 bool
 is_to_be_asked(const RunnerEntry& entry, TimePoint now)
 {
-    return entry.words.limit.in_force() &&
-           silence_beyond(entry.words.limit, now).count() >= 0;
+    return entry.notices.limit.in_force() &&
+           silence_beyond(entry.notices.limit, now).count() >= 0;
 }
 
 } // namespace
@@ -209,8 +210,8 @@
 RunnerTable::warm_at(const RunnerEntry& entry, const RunnerQuery& query) const
 {
     TimePoint warm = entry.cold_until;
-    if (entry.contact_lost_at)
-        warm = std::max(warm, *entry.contact_lost_at + restart_time +
+    if (entry.connection_failed_at)
+        warm = std::max(warm, *entry.connection_failed_at + restart_time +
                                   query.warm_up.time);
     const auto reopened = m_reopened.find(entry.listed.zone);
     if (reopened != m_reopened.end())
@@ -243,7 +244,7 @@
 RunnerTable::free_at(const RunnerEntry& entry, const RunnerQuery& query,
                      std::size_t reserved) const
 {
-    return std::max({entry.held_until, entry.words.backoff_until,
+    return std::max({entry.held_until, entry.notices.backoff_until,
                      warm_up_free_at(entry, query, reserved),
                      limit_free_at(entry, query, reserved)});
 }
@@ -270,10 +271,10 @@
 RunnerTable::limit_free_at(const RunnerEntry& entry, const RunnerQuery& query,
                            std::size_t reserved) const
 {
-    if (!entry.words.limit.in_force())
+    if (!entry.notices.limit.in_force())
         return {};
     RateShare share =
-        named_limit_share(entry.words.limit.per_second(),
+        named_limit_share(entry.notices.limit.per_second(),
                           m_members.count(entry.listed.zone, query.now));
     if (!has_share(entry, query, share))
         return asks_silent(entry, query)
@@ -335,8 +336,8 @@
 }
 
 std::optional<RunnerPick>
-RunnerTable::choose_booked(const RunnerQuery& query,
-                           const RunnerIncarnation& booked)
+RunnerTable::choose_reserved(const RunnerQuery& query,
+                             const RunnerIncarnation& booked)
 {
     release(booked);
     if (auto pick = choose(query))
@@ -345,7 +346,7 @@
     const RunnerEntry* entry = find(booked);
     const bool is_its_turn =
         entry && may_take_work(*entry, query) &&
-        entry->words.backoff_until <= query.now &&
+        entry->notices.backoff_until <= query.now &&
         free_at(*entry, query, 0) <= query.now + booked_early;
     if (!is_its_turn)
         return std::nullopt;
@@ -357,27 +358,27 @@
                      const FleetLoad& fleet) const
 {
     return {entry.listed.id,
-            entry.listed.born,
+            entry.listed.start_ms,
             entry.listed.address,
             entry.listed.zone,
             entry.version_of(query.model),
             expected_wait(entry, query, fleet),
-            entry.words.limit.in_force(),
-            entry.words.limit.change()};
+            entry.notices.limit.in_force(),
+            entry.notices.limit.change()};
 }
 
-NextChance
-RunnerTable::next_chance(const RunnerQuery& query) const
+NextAvailability
+RunnerTable::next_available(const RunnerQuery& query) const
 {
-    NextChance chance;
+    NextAvailability chance;
     for (const auto& [id, entry] : m_entries) {
         if (!may_take_work(entry, query))
             continue;
-        chance.limited = chance.limited || entry.words.limit.in_force();
+        chance.limited = chance.limited || entry.notices.limit.in_force();
         const TimePoint free = free_at(entry, query);
         if (free == never)
             continue;
-        if (entry.words.backoff_until > query.now) {
+        if (entry.notices.backoff_until > query.now) {
             chance.backoff_ends_at =
                 std::min(chance.backoff_ends_at.value_or(free), free);
             continue;
@@ -386,7 +387,7 @@
             continue;
         chance.at = free;
         chance.runner = id;
-        chance.born = entry.listed.born;
+        chance.start_ms = entry.listed.start_ms;
     }
     return chance;
 }
--- a/src/libcrosslink/forward/runner_entry.cpp
+++ b/src/libcrosslink/forward/runner_entry.cpp
@@ -27,7 +27,8 @@
 RunnerEntry::version_of(std::string_view model) const
 {
     const std::uint64_t version = version_in(listed.models, model);
-    return version == 0 ? 0 : std::max(version, version_in(told, model));
+    return version == 0 ? 0
+                        : std::max(version, version_in(reported_models, model));
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/forward/runner_limit_test.cpp
+++ b/src/libcrosslink/forward/runner_limit_test.cpp
@@ -54,13 +54,13 @@
     table.limit_answered({"r"}, 2, 0, at(0));
     CHECK(send(table, 0) == "r");
     CHECK(send(table, 10).empty());
-    const NextChance first = table.next_chance(query(10));
+    const NextAvailability first = table.next_available(query(10));
     CHECK(first.limited);
     REQUIRE(first.at);
     CHECK(*first.at > at(500));
     CHECK(*first.at < at(550));
     table.reserve(first.incarnation());
-    const NextChance second = table.next_chance(query(10));
+    const NextAvailability second = table.next_available(query(10));
     REQUIRE(second.at);
     CHECK(*second.at > at(1020));
     table.reserve(second.incarnation());
@@ -68,11 +68,11 @@
     CHECK_FALSE(table.choose(query(530)));
     RunnerQuery due = query(0);
     due.now = *first.at;
-    CHECK(table.choose_booked(due, first.incarnation()));
+    CHECK(table.choose_reserved(due, first.incarnation()));
     table.reserve(first.incarnation());
     table.sent(first.incarnation(), 0, 0, due.now);
     due.now = *second.at;
-    CHECK(table.choose_booked(due, second.incarnation()));
+    CHECK(table.choose_reserved(due, second.incarnation()));
 }
 
 TEST_CASE("so have calls that wait for a runner that warms up")
@@ -90,16 +90,16 @@
     };
     for (const int ms : {0, 10})
         table.sent({"r"}, 0, 0, at(ms));
-    std::vector<NextChance> waiting;
+    std::vector<NextAvailability> waiting;
     for (int i = 0; i < 3; ++i) {
-        waiting.push_back(table.next_chance(asked(at(20))));
+        waiting.push_back(table.next_available(asked(at(20))));
         REQUIRE(waiting.back().at);
         table.reserve(waiting.back().incarnation());
     }
     CHECK(*waiting[1].at < at(1100));
     CHECK(*waiting[2].at > at(2000));
-    for (const NextChance& chance : waiting) {
-        CHECK(table.choose_booked(asked(*chance.at), chance.incarnation()));
+    for (const NextAvailability& chance : waiting) {
+        CHECK(table.choose_reserved(asked(*chance.at), chance.incarnation()));
         table.reserve(chance.incarnation());
         table.sent(chance.incarnation(), 0, 0, *chance.at);
     }
@@ -110,12 +110,12 @@
     RunnerTable table = table_of({"r"});
     table.limit_answered({"r"}, 2, 0, at(0));
     CHECK(send(table, 0) == "r");
-    const NextChance chance = table.next_chance(query(10));
+    const NextAvailability chance = table.next_available(query(10));
     table.reserve(chance.incarnation());
     table.limit_answered({"r"}, 0.5, 1, at(100));
     RunnerQuery due = query(0);
     due.now = *chance.at;
-    CHECK_FALSE(table.choose_booked(due, chance.incarnation()));
+    CHECK_FALSE(table.choose_reserved(due, chance.incarnation()));
 }
 
 TEST_CASE("an account that is ahead comes after the others")
@@ -141,8 +141,8 @@
     RunnerQuery other = query(100);
     other.instance = "j";
     CHECK_FALSE(table.choose(other));
-    CHECK_FALSE(table.next_chance(other).at);
-    CHECK(table.next_chance(other).limited);
+    CHECK_FALSE(table.next_available(other).at);
+    CHECK(table.next_available(other).limited);
     other.now = at(30'000);
     CHECK(table.choose(other));
 }
@@ -161,10 +161,10 @@
 {
     RunnerTable table = table_of({"r"});
     table.limit_answered({"r"}, 2, 0, at(0));
-    const auto news = table.limit_news(at(0));
+    const auto news = table.limit_updates(at(0));
     REQUIRE(news.size() == 1);
     ListedRunner again = table.entries().at("r").listed;
-    again.born = 5;
+    again.start_ms = 5;
     CHECK(table.put(again, at(10)));
     CHECK(table.limited_count() == 0);
     // Late news of the one before change nothing.
@@ -178,7 +178,7 @@
     RunnerTable table = table_of({"r"});
     const ListedRunner listed = table.entries().at("r").listed;
     table.limit_answered({"r"}, 2, 0, at(0));
-    const auto news = table.limit_news(at(0));
+    const auto news = table.limit_updates(at(0));
     table.remove("r");
     CHECK(table.limited_count() == 0);
     table.put(listed, at(100));
@@ -186,7 +186,7 @@
     table.sync({}, at(200));
     CHECK(table.limit_answered({"r"}, 3, 1, at(300)));
     table.put(listed, at(400));
-    CHECK(table.limit_news(at(400))[0].per_second == 3);
+    CHECK(table.limit_updates(at(400))[0].per_second == 3);
     // One that is told of before it is listed.
     RunnerTable other = table_of({});
     other.limit_told(news[0], at(0));
--- a/src/libcrosslink/forward/runner_words.cpp
+++ b/src/libcrosslink/forward/runner_notices.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/forward/runner_words.h>
+#include <crosslink/forward/runner_notices.h>
 
 #include <algorithm>
 
--- a/src/libcrosslink/forward/runner_words_play_test.cpp
+++ b/src/libcrosslink/forward/runner_notices_play_test.cpp
@@ -28,7 +28,7 @@
 
 /// A process as the test knows it.
 struct Process {
-    std::uint64_t born = 1;
+    std::uint64_t start_ms = 1;
     bool listed = true;
     bool leaving = false;
     TimePoint backoff_until{};
@@ -36,10 +36,10 @@
     bool is_sound = true;
 };
 
-class WordsPlay
+class NoticesPlay
 {
 public:
-    explicit WordsPlay(std::uint32_t seed) : m_random(seed)
+    explicit NoticesPlay(std::uint32_t seed) : m_random(seed)
     {
         m_table.members().listed({"i", "", "a", 0}, TimePoint{});
         for (int i = 0; i < runners; ++i) {
@@ -69,7 +69,7 @@
     {
         ListedRunner listed;
         listed.id = id;
-        listed.born = m_processes.at(id).born;
+        listed.start_ms = m_processes.at(id).start_ms;
         listed.service = "s";
         listed.address = "127.0.0.1:1";
         listed.zone = "a";
@@ -84,9 +84,9 @@
     }
     void start_anew(const std::string& id)
     {
-        const std::uint64_t born = m_processes[id].born + 1;
+        const std::uint64_t start_ms = m_processes[id].start_ms + 1;
         m_processes[id] = {};
-        m_processes[id].born = born;
+        m_processes[id].start_ms = start_ms;
         list(id);
     }
     void list_only(const std::string& without)
@@ -109,7 +109,7 @@
     void act(const std::string& id)
     {
         Process& process = m_processes[id];
-        const RunnerIncarnation now{id, process.born};
+        const RunnerIncarnation now{id, process.start_ms};
         switch (draw(14)) {
         case 0:
         case 1:
@@ -130,23 +130,23 @@
             lapse(id);
             break;
         case 7:
-            m_table.says_leaving(now, m_now);
+            m_table.set_leaving(now, m_now);
             process.leaving = true;
             break;
         case 8:
             // The process before says so late.
-            m_table.says_leaving({id, process.born - 1}, m_now);
+            m_table.set_leaving({id, process.start_ms - 1}, m_now);
             break;
         case 9: {
             const TimePoint until =
                 m_now + std::chrono::milliseconds(draw(900));
-            m_table.asks_for_backoff(now, until, m_now);
+            m_table.set_backoff(now, until, m_now);
             process.backoff_until = std::max(process.backoff_until, until);
             break;
         }
         case 10:
-            m_table.asks_for_backoff({id, process.born - 1},
-                                     m_now + std::chrono::hours(1), m_now);
+            m_table.set_backoff({id, process.start_ms - 1},
+                                m_now + std::chrono::hours(1), m_now);
             break;
         case 11:
             m_table.limit_answered(now, 0.2, 0, m_now);
@@ -208,14 +208,15 @@
     /// A call that waits for its place, while more becomes known.
     void check_booked()
     {
-        const NextChance chance = m_table.next_chance(query());
+        const NextAvailability chance = m_table.next_available(query());
         if (!chance.at)
             return;
         m_table.reserve(chance.incarnation());
         if (draw(2) == 0)
             act(chance.runner);
         m_now = std::max(m_now, std::min(*chance.at, m_now + longest_wait));
-        const auto pick = m_table.choose_booked(query(), chance.incarnation());
+        const auto pick =
+            m_table.choose_reserved(query(), chance.incarnation());
         if (pick)
             CHECK(may_be_sent(pick->id));
     }
@@ -234,7 +235,7 @@
 {
     for (std::uint32_t seed = 1; seed <= seeds; ++seed) {
         INFO("seed " << seed);
-        WordsPlay(seed).run();
+        NoticesPlay(seed).run();
     }
 }
 
--- a/src/libcrosslink/forward/runner_words_test.cpp
+++ b/src/libcrosslink/forward/runner_notices_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/forward/runner_words.h>
+#include <crosslink/forward/runner_notices.h>
 
 #include "../testing/runners_of_a_zone.h"
 
@@ -41,10 +41,10 @@
     RunnerTable table = table_of({"r"});
     table.limit_answered({"r"}, 0.2, 0, at(0));
     CHECK(table.choose(query(60'000)));
-    table.asks_for_backoff({"r"}, at(90'000), at(60'000));
+    table.set_backoff({"r"}, at(90'000), at(60'000));
     CHECK_FALSE(table.choose(query(89'999)));
     CHECK(table.choose(query(90'000)));
-    table.says_leaving({"r"}, at(90'000));
+    table.set_leaving({"r"}, at(90'000));
     CHECK_FALSE(table.choose(query(150'000)));
 }
 
@@ -60,7 +60,7 @@
     RunnerQuery asked = query(100);
     asked.warm_up = {std::chrono::seconds(60), 40};
     CHECK(table.choose(asked));
-    table.asks_for_backoff({"r"}, at(3000), at(100));
+    table.set_backoff({"r"}, at(3000), at(100));
     CHECK_FALSE(table.choose(asked));
     asked.now = at(3000);
     CHECK(table.choose(asked));
@@ -70,21 +70,21 @@
 {
     RunnerTable table = table_of({"r"});
     table.refused({"r"}, at(0), std::chrono::milliseconds(120));
-    const NextChance chance = table.next_chance(query(0));
+    const NextAvailability chance = table.next_available(query(0));
     REQUIRE(chance.at == at(120));
     table.reserve(chance.incarnation());
-    table.asks_for_backoff({"r"}, at(125), at(50));
-    CHECK_FALSE(table.choose_booked(query(124), chance.incarnation()));
+    table.set_backoff({"r"}, at(125), at(50));
+    CHECK_FALSE(table.choose_reserved(query(124), chance.incarnation()));
     CHECK(table.choose(query(125)));
 }
 
 TEST_CASE("a shorter backoff does not end the one that was asked for before")
 {
     RunnerTable table = table_of({"r"});
-    CHECK(table.asks_for_backoff({"r"}, at(3000), at(0)));
-    CHECK_FALSE(table.asks_for_backoff({"r"}, at(600), at(100)));
+    CHECK(table.set_backoff({"r"}, at(3000), at(0)));
+    CHECK_FALSE(table.set_backoff({"r"}, at(600), at(100)));
     CHECK_FALSE(table.choose(query(2999)));
-    CHECK(table.asks_for_backoff({"r"}, at(4000), at(2999)));
+    CHECK(table.set_backoff({"r"}, at(4000), at(2999)));
     CHECK_FALSE(table.choose(query(3999)));
     CHECK(table.choose(query(4000)));
 }
@@ -93,33 +93,33 @@
 {
     RunnerTable table =
         table_of({"backing_off", "longer", "refused", "leaving"});
-    table.says_leaving({"leaving"}, at(0));
-    table.asks_for_backoff({"backing_off"}, at(50), at(0));
-    table.asks_for_backoff({"longer"}, at(5000), at(0));
+    table.set_leaving({"leaving"}, at(0));
+    table.set_backoff({"backing_off"}, at(50), at(0));
+    table.set_backoff({"longer"}, at(5000), at(0));
     table.refused({"refused"}, at(0), std::chrono::milliseconds(120));
-    const NextChance chance = table.next_chance(query(0));
+    const NextAvailability chance = table.next_available(query(0));
     CHECK(chance.runner == "refused");
     CHECK(chance.at == at(120));
     CHECK(chance.backoff_ends_at == at(50));
     CHECK(chance.earliest() == at(50));
-    table.says_leaving({"refused"}, at(0));
-    CHECK_FALSE(table.next_chance(query(0)).at);
-    CHECK(table.next_chance(query(0)).earliest() == at(50));
-    CHECK(table.next_chance(query(100)).backoff_ends_at == at(5000));
+    table.set_leaving({"refused"}, at(0));
+    CHECK_FALSE(table.next_available(query(0)).at);
+    CHECK(table.next_available(query(0)).earliest() == at(50));
+    CHECK(table.next_available(query(100)).backoff_ends_at == at(5000));
 }
 
 TEST_CASE("what befell calls at a process is not put down to the next one")
 {
     RunnerTable table = table_of({"r"});
     ListedRunner again = table.entries().at("r").listed;
-    again.born = 5;
+    again.start_ms = 5;
     again.models = {{"m", 1}};
     table.put(again, at(10));
     const RunnerIncarnation before{"r", 0};
     table.refused(before, at(20), std::chrono::seconds(1));
     table.failed(before, at(20));
-    table.has_version({"r", 5}, "m", 2);
-    table.lacks_version(before, "m", 2);
+    table.record_version({"r", 5}, "m", 2);
+    table.discard_version(before, "m", 2);
     CHECK(table.choose(query(21)));
     CHECK(table.entries().at("r").version_of("m") == 2);
 }
--- a/src/libcrosslink/forward/runner_price.cpp
+++ b/src/libcrosslink/forward/runner_price.cpp
@@ -97,7 +97,7 @@
     // What this instance sent since the others told their load, those that see
     // the same runner as the best one have sent too.
     const double choosers = std::min<double>(alike, most_choosers);
-    known.add(entry.untold, choosers - 1);
+    known.add(entry.unreported_load, choosers - 1);
     return known;
 }
 
--- a/src/libcrosslink/forward/runner_table.cpp
+++ b/src/libcrosslink/forward/runner_table.cpp
@@ -78,7 +78,7 @@
         const RunnerEntry& entry = item.second;
         if (!condition(entry))
             return false;
-        m_unlisted.keep(entry.incarnation(), entry.words);
+        m_unlisted.keep(entry.incarnation(), entry.notices);
         return true;
     });
 }
@@ -104,9 +104,9 @@
 {
     const auto [found, is_new] = m_entries.try_emplace(listed.id);
     RunnerEntry& entry = found->second;
-    if (!is_new && listed.born < entry.listed.born)
+    if (!is_new && listed.start_ms < entry.listed.start_ms)
         return false;
-    const bool starts_anew = !is_new && listed.born > entry.listed.born;
+    const bool starts_anew = !is_new && listed.start_ms > entry.listed.start_ms;
     if (starts_anew) {
         // What was sent a moment ago counts at the new one too.
         const SendWindow sends = entry.sends;
@@ -114,7 +114,7 @@
         entry.sends = sends;
     }
     if (is_new || starts_anew)
-        entry.words = m_unlisted.take({listed.id, listed.born});
+        entry.notices = m_unlisted.take({listed.id, listed.start_ms});
     entry.gone_at.reset();
     entry.listed = listed;
     entry.cold_until = now + listed.cold_for;
@@ -178,7 +178,7 @@
     if (RunnerEntry* entry = find(runner)) {
         note_send(*entry, now);
         entry->own.add(tokens, resident);
-        entry->untold.add(tokens, resident);
+        entry->unreported_load.add(tokens, resident);
     }
 }
 
@@ -186,12 +186,12 @@
 void
 RunnerTable::note_send(RunnerEntry& entry, TimePoint now) const
 {
-    if (!entry.words.limit.in_force()) {
+    if (!entry.notices.limit.in_force()) {
         entry.sends.sent(now);
         return;
     }
     const RateShare share =
-        named_limit_share(entry.words.limit.per_second(),
+        named_limit_share(entry.notices.limit.per_second(),
                           m_members.count(entry.listed.zone, now));
     if (share.calls == 1)
         entry.sends.sent_in_turn(share.window, now);
@@ -262,20 +262,21 @@
 }
 
 void
-RunnerTable::contact_lost(std::string_view id, TimePoint at)
+RunnerTable::connection_failed(std::string_view id, TimePoint at)
 {
     RunnerEntry* entry = find(id);
-    if (entry && (!entry->contact_lost_at || *entry->contact_lost_at < at))
-        entry->contact_lost_at = at;
+    if (entry &&
+        (!entry->connection_failed_at || *entry->connection_failed_at < at))
+        entry->connection_failed_at = at;
 }
 
 std::map<std::string, TimePoint>
-RunnerTable::contacts_lost(TimePoint since) const
+RunnerTable::connection_failures(TimePoint since) const
 {
     std::map<std::string, TimePoint> lost;
     for (const auto& [id, entry] : m_entries)
-        if (entry.contact_lost_at && *entry.contact_lost_at > since)
-            lost[id] = *entry.contact_lost_at;
+        if (entry.connection_failed_at && *entry.connection_failed_at > since)
+            lost[id] = *entry.connection_failed_at;
     return lost;
 }
 
@@ -287,57 +288,57 @@
 }
 
 bool
-RunnerTable::has_version(const RunnerIncarnation& runner,
-                         std::string_view model, std::uint64_t version)
+RunnerTable::record_version(const RunnerIncarnation& runner,
+                            std::string_view model, std::uint64_t version)
 {
     RunnerEntry* entry = find(runner);
     const std::uint64_t known = entry ? entry->version_of(model) : 0;
     if (known == 0 || known >= version)
         return false;
-    erase_model(entry->told, model);
-    entry->told.push_back({std::string(model), version});
+    erase_model(entry->reported_models, model);
+    entry->reported_models.push_back({std::string(model), version});
     return true;
 }
 
 void
-RunnerTable::lacks_version(const RunnerIncarnation& runner,
-                           std::string_view model, std::uint64_t version)
+RunnerTable::discard_version(const RunnerIncarnation& runner,
+                             std::string_view model, std::uint64_t version)
 {
     RunnerEntry* entry = find(runner);
     if (entry && entry->version_of(model) == version)
-        erase_model(entry->told, model);
+        erase_model(entry->reported_models, model);
 }
 
 bool
 RunnerTable::limit_answered(const RunnerIncarnation& runner, double per_second,
                             std::uint64_t known, TimePoint now)
 {
-    RunnerWords* words = words_of(runner);
-    if (!words)
+    RunnerNotices* notices = notices_of(runner);
+    if (!notices)
         return false;
-    words->heard_at = now;
-    return words->limit.answered(per_second, known, now);
+    notices->heard_at = now;
+    return notices->limit.answered(per_second, known, now);
 }
 
 bool
-RunnerTable::limit_told(const LimitNews& news, TimePoint now)
+RunnerTable::limit_told(const LimitUpdate& news, TimePoint now)
 {
-    RunnerWords* words = words_of({news.runner, news.born});
-    if (!words)
+    RunnerNotices* notices = notices_of({news.runner, news.start_ms});
+    if (!notices)
         return false;
-    words->heard_at = now;
-    return words->limit.told(news, now);
+    notices->heard_at = now;
+    return notices->limit.told(news, now);
 }
 
-std::vector<LimitNews>
-RunnerTable::limit_news(TimePoint now) const
+std::vector<LimitUpdate>
+RunnerTable::limit_updates(TimePoint now) const
 {
-    std::vector<LimitNews> news;
+    std::vector<LimitUpdate> news;
     for (const auto& [id, entry] : m_entries)
-        if (entry.words.limit.is_news(now))
+        if (entry.notices.limit.is_news(now))
             news.push_back(
-                {id, entry.listed.born, entry.words.limit.per_second(),
-                 entry.words.limit.change(), entry.words.limit.heard()});
+                {id, entry.listed.start_ms, entry.notices.limit.per_second(),
+                 entry.notices.limit.change(), entry.notices.limit.heard()});
     return news;
 }
 
@@ -346,41 +347,41 @@
 {
     return static_cast<std::size_t>(
         std::count_if(m_entries.begin(), m_entries.end(), [](const auto& item) {
-            return item.second.words.limit.in_force();
+            return item.second.notices.limit.in_force();
         }));
 }
 
 bool
-RunnerTable::says_leaving(const RunnerIncarnation& runner, TimePoint now)
+RunnerTable::set_leaving(const RunnerIncarnation& runner, TimePoint now)
 {
-    RunnerWords* words = words_of(runner);
-    if (!words)
+    RunnerNotices* notices = notices_of(runner);
+    if (!notices)
         return false;
-    words->heard_at = now;
-    return !std::exchange(words->leaving, true);
+    notices->heard_at = now;
+    return !std::exchange(notices->leaving, true);
 }
 
-std::vector<LeavingNews>
-RunnerTable::leaving_news() const
+std::vector<LeavingUpdate>
+RunnerTable::leaving_updates() const
 {
-    std::vector<LeavingNews> news;
+    std::vector<LeavingUpdate> news;
     for (const auto& [id, entry] : m_entries)
-        if (entry.words.leaving && !entry.listed.leaving)
-            news.push_back({id, entry.listed.born});
+        if (entry.notices.leaving && !entry.listed.leaving)
+            news.push_back({id, entry.listed.start_ms});
     return news;
 }
 
 bool
-RunnerTable::asks_for_backoff(const RunnerIncarnation& runner, TimePoint until,
-                              TimePoint now)
+RunnerTable::set_backoff(const RunnerIncarnation& runner, TimePoint until,
+                         TimePoint now)
 {
-    RunnerWords* words = words_of(runner);
-    if (!words)
+    RunnerNotices* notices = notices_of(runner);
+    if (!notices)
         return false;
-    words->heard_at = now;
-    if (until <= words->backoff_until)
+    notices->heard_at = now;
+    if (until <= notices->backoff_until)
         return false;
-    words->backoff_until = until;
+    notices->backoff_until = until;
     return true;
 }
 
@@ -403,7 +404,7 @@
     for (auto& [id, entry] : m_entries) {
         const auto found = load.find(id);
         entry.others = found == load.end() ? RunnerLoad{} : found->second;
-        entry.untold = {};
+        entry.unreported_load = {};
     }
 }
 
@@ -420,18 +421,19 @@
 RunnerTable::find(const RunnerIncarnation& runner)
 {
     RunnerEntry* entry = find(runner.id);
-    return entry && entry->listed.born == runner.born ? entry : nullptr;
+    return entry && entry->listed.start_ms == runner.start_ms ? entry : nullptr;
 }
 
 /// Returns what this one process said of itself, listed or not; null where a
 /// later one under its id is known.
-RunnerWords*
-RunnerTable::words_of(const RunnerIncarnation& runner)
+RunnerNotices*
+RunnerTable::notices_of(const RunnerIncarnation& runner)
 {
     RunnerEntry* entry = find(runner.id);
-    if (!entry || entry->listed.born < runner.born)
+    if (!entry || entry->listed.start_ms < runner.start_ms)
         return m_unlisted.find(runner);
-    return entry->listed.born == runner.born ? &entry->words : nullptr;
+    return entry->listed.start_ms == runner.start_ms ? &entry->notices
+                                                     : nullptr;
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/forward/runner_table_test.cpp
+++ b/src/libcrosslink/forward/runner_table_test.cpp
@@ -259,7 +259,7 @@
     CHECK(chosen(table, asked) == "new");
     table.remove("new");
     CHECK(chosen(table, asked).empty());
-    table.has_version({"o2"}, model, 2);
+    table.record_version({"o2"}, model, 2);
     CHECK(chosen(table, asked) == "o2");
 }
 
@@ -295,29 +295,29 @@
 TEST_CASE("it is told when a runner takes work again, if one does")
 {
     RunnerTable table;
-    CHECK_FALSE(table.next_chance(query()).at);
+    CHECK_FALSE(table.next_available(query()).at);
     table.put(runner("full", "a"), at(0));
     table.put(runner("fails", "a"), at(0));
     table.refused({"full"}, at(0), std::chrono::milliseconds(120));
     table.failed({"fails"}, at(0));
-    CHECK(table.next_chance(query()).at == at(120));
+    CHECK(table.next_available(query()).at == at(120));
     table.put(runner("old", "a", 1), at(0));
     RunnerQuery asked = query();
     asked.least_version = 2;
-    CHECK_FALSE(table.next_chance(asked).at);
-    table.has_version({"fails"}, model, 2);
-    CHECK(table.next_chance(asked).at == at(500));
+    CHECK_FALSE(table.next_available(asked).at);
+    table.record_version({"fails"}, model, 2);
+    CHECK(table.next_available(asked).at == at(500));
     ListedRunner leaving = runner("fails", "a");
     leaving.leaving = true;
     table.put(leaving, at(0));
-    CHECK_FALSE(table.next_chance(asked).at);
+    CHECK_FALSE(table.next_available(asked).at);
 }
 
 TEST_CASE("a late list does not bring older weights back")
 {
     RunnerTable table;
     table.put(runner("r", "a", 1), at(0));
-    table.has_version({"r"}, model, 2);
+    table.record_version({"r"}, model, 2);
     table.put(runner("r", "a", 1), at(0));
     CHECK(table.choose(query())->version == 2);
 }
@@ -326,9 +326,9 @@
 {
     RunnerTable table;
     table.put(runner("r", "a", 2), at(0));
-    CHECK(table.has_version({"r"}, model, 4));
-    CHECK_FALSE(table.has_version({"r"}, model, 3));
-    CHECK_FALSE(table.has_version({"r"}, "other", 3));
+    CHECK(table.record_version({"r"}, model, 4));
+    CHECK_FALSE(table.record_version({"r"}, model, 3));
+    CHECK_FALSE(table.record_version({"r"}, "other", 3));
     CHECK(table.choose(query())->version == 4);
 }
 
@@ -336,13 +336,13 @@
 {
     RunnerTable table;
     table.put(runner("r", "a", 1), at(0));
-    table.has_version({"r"}, model, 3);
-    table.lacks_version({"r"}, model, 2);
+    table.record_version({"r"}, model, 3);
+    table.discard_version({"r"}, model, 2);
     CHECK(table.choose(query())->version == 3);
-    table.lacks_version({"r"}, model, 3);
+    table.discard_version({"r"}, model, 3);
     CHECK(table.choose(query())->version == 1);
     // Its list may be late too: that alone is no reason to forget it.
-    table.lacks_version({"r"}, model, 1);
+    table.discard_version({"r"}, model, 1);
     CHECK(table.choose(query())->version == 1);
 }
 
@@ -375,7 +375,7 @@
     table.put(runner("busy", "a"), at(0));
     table.sent({"busy"}, 2000, 0, at(0));
     CHECK(chosen(table, query(1)) == "broke");
-    table.contact_lost("broke", at(1));
+    table.connection_failed("broke", at(1));
     CHECK(chosen(table, query(2)) == "busy");
     CHECK(chosen(table, query(1999)) == "busy");
     CHECK(chosen(table, query(2001)) == "broke");
@@ -383,7 +383,7 @@
     suspect.spares_ending = false;
     CHECK(chosen(table, suspect) == "broke");
     // Alone it is as good as before.
-    table.contact_lost("broke", at(2001));
+    table.connection_failed("broke", at(2001));
     table.remove("busy");
     CHECK(chosen(table, query(2002)) == "broke");
 }
@@ -392,21 +392,21 @@
 {
     RunnerTable table;
     ListedRunner earlier = runner("r", "a", 1);
-    earlier.born = 100;
+    earlier.start_ms = 100;
     table.put(earlier, at(0));
     table.sent({"r", 100}, 9000, 20'000, at(0));
-    table.has_version({"r", 100}, model, 4);
+    table.record_version({"r", 100}, model, 4);
     table.failed({"r", 100}, at(0));
     CHECK(chosen(table, query(10)).empty());
     ListedRunner later = earlier;
-    later.born = 200;
+    later.start_ms = 200;
     later.address = "127.0.0.1:2";
     CHECK(table.put(later, at(10)));
     CHECK(chosen(table, query(10)) == "r");
     CHECK(table.own_load().empty());
     CHECK(table.entries().at("r").version_of(model) == 1);
     // What comes late of the earlier one changes nothing.
-    CHECK_FALSE(table.has_version({"r", 100}, model, 5));
+    CHECK_FALSE(table.record_version({"r", 100}, model, 5));
     table.sent({"r", 200}, 500, 800, at(20));
     table.prompt_read({"r", 100}, 9000);
     table.ended({"r", 100}, 20'000);
@@ -424,10 +424,10 @@
     table.put(runner("far", "b"), at(0));
     table.evacuate("a", true, at(0));
     CHECK(chosen(table, query(10)) == "far");
-    CHECK(table.next_chance(query(10)).at == TimePoint{});
+    CHECK(table.next_available(query(10)).at == TimePoint{});
     table.evacuate("b", true, at(20));
     CHECK(chosen(table, query(30)).empty());
-    CHECK_FALSE(table.next_chance(query(30)).at);
+    CHECK_FALSE(table.next_available(query(30)).at);
     table.evacuate_only({"b"}, at(40));
     CHECK(chosen(table, query(50)) == "near");
     table.evacuate("none", false, at(60));
@@ -474,10 +474,10 @@
     table.sent({"r"}, 0, 0, at(0));
     table.reserve({"r"});
     CHECK(chosen(table, asked).empty());
-    CHECK(table.next_chance(asked).at == at(1050));
+    CHECK(table.next_available(asked).at == at(1050));
     // Another instance has no share, and waits until the runner is warm.
     asked.instance = "j";
-    CHECK(table.next_chance(asked).at == at(2000));
+    CHECK(table.next_available(asked).at == at(2000));
 }
 
 TEST_CASE("a runner that may start anew is taken as cold")
@@ -488,10 +488,10 @@
     asked.instance = "i";
     asked.warm_up = {std::chrono::seconds(3), 20};
     CHECK(chosen(table, asked) == "r");
-    table.contact_lost("r", at(100));
-    table.contact_lost("r", at(50));
-    CHECK(table.contacts_lost(at(99)).at("r") == at(100));
-    CHECK(table.contacts_lost(at(100)).empty());
+    table.connection_failed("r", at(100));
+    table.connection_failed("r", at(50));
+    CHECK(table.connection_failures(at(99)).at("r") == at(100));
+    CHECK(table.connection_failures(at(100)).empty());
     CHECK(chosen(table, asked).empty());
     asked.now = at(4600);
     CHECK(chosen(table, asked) == "r");
@@ -502,9 +502,9 @@
     RunnerTable table;
     table.put(runner("near", "a"), at(0));
     table.put(runner("far", "b"), at(0));
-    const std::set<std::string, std::less<>> homes{"b"};
+    const std::set<std::string, std::less<>> allowed_regions{"b"};
     RunnerQuery asked = query();
-    asked.zones_allowed = &homes;
+    asked.zones_allowed = &allowed_regions;
     CHECK(chosen(table, asked) == "far");
     const std::set<std::string, std::less<>> none;
     asked.zones_allowed = &none;
--- a/src/libcrosslink/forward/service_map.cpp
+++ b/src/libcrosslink/forward/service_map.cpp
@@ -60,8 +60,8 @@
     return nullptr;
 }
 
-const KeyHolder*
-ServiceMap::holder_of(std::string_view key) const
+const AccountSettings*
+ServiceMap::find_account(std::string_view key) const
 {
     const auto found = m_keys.find(key);
     return found == m_keys.end() ? nullptr : &accounts[found->second];
--- a/src/libcrosslink/forward/service_map_test.cpp
+++ b/src/libcrosslink/forward/service_map_test.cpp
@@ -55,10 +55,10 @@
     map.accounts = {{"one"}, {"two"}};
     map.add_key("k1", 0);
     map.add_key("k2", 1);
-    CHECK(map.holder_of("k1")->name == "one");
-    CHECK(map.holder_of("k2")->name == "two");
-    CHECK(map.holder_of("k") == nullptr);
-    CHECK(map.holder_of("") == nullptr);
+    CHECK(map.find_account("k1")->name == "one");
+    CHECK(map.find_account("k2")->name == "two");
+    CHECK(map.find_account("k") == nullptr);
+    CHECK(map.find_account("") == nullptr);
 }
 
 TEST_CASE("a store is found by its address")
--- a/src/libcrosslink/forward/unlisted_words_test.cpp
+++ b/src/libcrosslink/forward/unlisted_notices_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/forward/unlisted_words.h>
+#include <crosslink/forward/unlisted_notices.h>
 
 #include <catch2/catch.hpp>
 
@@ -17,20 +17,20 @@
     return TimePoint(std::chrono::seconds(seconds));
 }
 
-RunnerWords
+RunnerNotices
 leaving_since(int seconds)
 {
-    RunnerWords words;
-    words.leaving = true;
-    words.heard_at = at(seconds);
-    return words;
+    RunnerNotices notices;
+    notices.leaving = true;
+    notices.heard_at = at(seconds);
+    return notices;
 }
 
 } // namespace
 
 TEST_CASE("words of an unlisted process are given to that process alone")
 {
-    UnlistedWords unlisted;
+    UnlistedNotices unlisted;
     unlisted.keep({"r", 2}, leaving_since(1));
     CHECK(unlisted.take({"other", 2}).empty());
     // A listing of an earlier process came late.
@@ -44,9 +44,9 @@
 
 TEST_CASE("words of a later process take the place of earlier ones")
 {
-    UnlistedWords unlisted;
+    UnlistedNotices unlisted;
     unlisted.keep({"r", 2}, leaving_since(1));
-    RunnerWords* later = unlisted.find({"r", 3});
+    RunnerNotices* later = unlisted.find({"r", 3});
     REQUIRE(later);
     CHECK_FALSE(later->leaving);
     *later = leaving_since(2);
@@ -57,9 +57,9 @@
 
 TEST_CASE("words of an unlisted process are forgotten, but in its backoff")
 {
-    UnlistedWords unlisted;
+    UnlistedNotices unlisted;
     unlisted.keep({"r"}, leaving_since(1));
-    RunnerWords backing_off;
+    RunnerNotices backing_off;
     backing_off.heard_at = at(1);
     backing_off.backoff_until = at(3600);
     unlisted.keep({"s"}, backing_off);
--- a/src/libcrosslink/forward/open_breaks.cpp
+++ b/src/libcrosslink/forward/unresolved_failures.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/forward/open_breaks.h>
+#include <crosslink/forward/unresolved_failures.h>
 
 #include <crosslink/forward/runner_entry.h>
 
@@ -25,24 +25,24 @@
 constexpr std::size_t part_of_zone = 3;
 
 bool
-is_of(const OpenBreak& call, const RunnerIncarnation& runner)
+is_of(const UnresolvedFailure& call, const RunnerIncarnation& runner)
 {
-    return call.runner == runner.id && call.born == runner.born;
+    return call.runner == runner.id && call.start_ms == runner.start_ms;
 }
 
 /// Adds a call under which a process ended. A request that it broke several
 /// times, as its parts went, has one end there; an answer counts against that
 /// however late the verdict comes.
 void
-add_call(const OpenBreak& call, std::vector<BrokenCall>& calls)
+add_call(const UnresolvedFailure& call, std::vector<InterruptedCall>& calls)
 {
     const auto found = std::find_if(calls.begin(), calls.end(),
-                                    [&call](const BrokenCall& known) {
+                                    [&call](const InterruptedCall& known) {
                                         return known.request == call.request;
                                     });
     if (found == calls.end())
-        calls.push_back(
-            {call.request, call.runner, call.born, call.again, call.broke_at});
+        calls.push_back({call.request, call.runner, call.start_ms, call.again,
+                         call.broke_at});
     else
         found->again = found->again || call.again;
 }
@@ -50,27 +50,28 @@
 } // namespace
 
 bool
-OpenBreaks::add(OpenBreak call, TimePoint now)
+UnresolvedFailures::add(UnresolvedFailure call, TimePoint now)
 {
     expire(now);
     if (m_breaks.size() >= most_open)
         m_breaks.erase(m_breaks.begin());
     m_breaks.push_back({std::move(call)});
-    const OpenBreak& added = m_breaks.back().call;
-    return has_ended({added.runner, added.born});
+    const UnresolvedFailure& added = m_breaks.back().call;
+    return has_ended({added.runner, added.start_ms});
 }
 
 bool
-OpenBreaks::has_ended(const RunnerIncarnation& runner) const
+UnresolvedFailures::has_ended(const RunnerIncarnation& runner) const
 {
-    return std::any_of(
-        m_ended.begin(), m_ended.end(), [&runner](const Ended& ended) {
-            return ended.runner == runner.id && ended.born == runner.born;
-        });
+    return std::any_of(m_ended.begin(), m_ended.end(),
+                       [&runner](const Ended& ended) {
+                           return ended.runner == runner.id &&
+                                  ended.start_ms == runner.start_ms;
+                       });
 }
 
 bool
-OpenBreaks::has(std::string_view request, TimePoint now) const
+UnresolvedFailures::has(std::string_view request, TimePoint now) const
 {
     return std::any_of(m_breaks.begin(), m_breaks.end(), [&](const Open& open) {
         return open.call.request == request &&
@@ -78,11 +79,11 @@
     });
 }
 
-std::vector<BrokenCall>
-OpenBreaks::ended(const RunnerIncarnation& runner, TimePoint now)
+std::vector<InterruptedCall>
+UnresolvedFailures::ended(const RunnerIncarnation& runner, TimePoint now)
 {
     expire(now);
-    std::vector<BrokenCall> calls;
+    std::vector<InterruptedCall> calls;
     for (const Open& open : m_breaks)
         if (is_of(open.call, runner))
             add_call(open.call, calls);
@@ -90,16 +91,16 @@
         return is_of(open.call, runner);
     });
     // Without its start, a later process can't be told from this one.
-    if (runner.born != 0 && !has_ended(runner))
-        m_ended.push_back({std::string(runner.id), runner.born, now});
+    if (runner.start_ms != 0 && !has_ended(runner))
+        m_ended.push_back({std::string(runner.id), runner.start_ms, now});
     return calls;
 }
 
-std::vector<BrokenCall>
-OpenBreaks::replaced_at(std::string_view address,
-                        const RunnerIncarnation& runner, TimePoint now)
+std::vector<InterruptedCall>
+UnresolvedFailures::replaced_at(std::string_view address,
+                                const RunnerIncarnation& runner, TimePoint now)
 {
-    std::vector<BrokenCall> calls;
+    std::vector<InterruptedCall> calls;
     const auto first_replaced = [&] {
         return std::find_if(m_breaks.begin(), m_breaks.end(),
                             [&](const Open& open) {
@@ -110,15 +111,15 @@
     expire(now);
     for (auto found = first_replaced(); found != m_breaks.end();
          found = first_replaced()) {
-        const OpenBreak earlier = found->call;
-        const auto under_it = ended({earlier.runner, earlier.born}, now);
+        const UnresolvedFailure earlier = found->call;
+        const auto under_it = ended({earlier.runner, earlier.start_ms}, now);
         calls.insert(calls.end(), under_it.begin(), under_it.end());
     }
     return calls;
 }
 
 void
-OpenBreaks::leaves(const RunnerIncarnation& runner)
+UnresolvedFailures::leaves(const RunnerIncarnation& runner)
 {
     std::erase_if(m_breaks, [&runner](const Open& open) {
         return is_of(open.call, runner);
@@ -126,7 +127,7 @@
 }
 
 void
-OpenBreaks::lives(const RunnerIncarnation& runner, TimePoint sent_at)
+UnresolvedFailures::lives(const RunnerIncarnation& runner, TimePoint sent_at)
 {
     std::erase_if(m_breaks, [&](const Open& open) {
         return is_of(open.call, runner) && open.call.broke_at < sent_at;
@@ -134,14 +135,14 @@
 }
 
 void
-OpenBreaks::gone(const RunnerIncarnation& runner, std::string_view zone,
-                 std::size_t of_zone, TimePoint now)
+UnresolvedFailures::gone(const RunnerIncarnation& runner, std::string_view zone,
+                         std::size_t of_zone, TimePoint now)
 {
     std::erase_if(m_gone, [now](const Gone& gone) {
         return gone.at + 2 * gone_together < now;
     });
-    m_gone.push_back(
-        {std::string(runner.id), runner.born, std::string(zone), of_zone, now});
+    m_gone.push_back({std::string(runner.id), runner.start_ms,
+                      std::string(zone), of_zone, now});
     const bool matters =
         std::any_of(m_breaks.begin(), m_breaks.end(),
                     [&](const Open& open) { return is_of(open.call, runner); });
@@ -149,14 +150,14 @@
         m_undecided.push_back(m_gone.back());
 }
 
-std::vector<BrokenCall>
-OpenBreaks::take_gone(TimePoint now)
+std::vector<InterruptedCall>
+UnresolvedFailures::take_gone(TimePoint now)
 {
-    std::vector<BrokenCall> calls;
+    std::vector<InterruptedCall> calls;
     for (const Gone& gone : m_undecided) {
         if (now < gone.at + gone_together || !went_alone(gone))
             continue;
-        const auto ended_there = ended({gone.runner, gone.born}, now);
+        const auto ended_there = ended({gone.runner, gone.start_ms}, now);
         calls.insert(calls.end(), ended_there.begin(), ended_there.end());
     }
     std::erase_if(m_undecided, [now](const Gone& gone) {
@@ -167,7 +168,7 @@
 
 /// Returns whether few other runners of the zone went at the same time.
 bool
-OpenBreaks::went_alone(const Gone& gone) const
+UnresolvedFailures::went_alone(const Gone& gone) const
 {
     const auto together = static_cast<std::size_t>(
         std::count_if(m_gone.begin(), m_gone.end(), [&](const Gone& other) {
@@ -177,27 +178,28 @@
     return together <= std::max<std::size_t>(gone.of_zone / part_of_zone, 1);
 }
 
-std::vector<PortToLookAt>
-OpenBreaks::take_due(TimePoint now)
+std::vector<ProbeTarget>
+UnresolvedFailures::take_due(TimePoint now)
 {
     expire(now);
-    std::vector<PortToLookAt> ports;
+    std::vector<ProbeTarget> ports;
     for (Open& open : m_breaks) {
         const auto at = next_look(open);
         if (!at || *at > now)
             continue;
-        const OpenBreak& call = open.call;
+        const UnresolvedFailure& call = open.call;
         const bool is_named = std::any_of(
-            ports.begin(), ports.end(), [&call](const PortToLookAt& port) {
-                return port.runner == call.runner && port.born == call.born;
+            ports.begin(), ports.end(), [&call](const ProbeTarget& port) {
+                return port.runner == call.runner &&
+                       port.start_ms == call.start_ms;
             });
         if (!is_named)
-            ports.push_back({call.runner, call.born, call.address});
+            ports.push_back({call.runner, call.start_ms, call.address});
     }
     // One look stands for all breaks there that are due soon.
-    for (const PortToLookAt& port : ports)
+    for (const ProbeTarget& port : ports)
         for (Open& open : m_breaks)
-            while (is_of(open.call, {port.runner, port.born}) &&
+            while (is_of(open.call, {port.runner, port.start_ms}) &&
                    next_look(open) && *next_look(open) <= now + look_pause)
                 ++open.looks;
     return ports;
@@ -205,7 +207,7 @@
 
 /// Returns when the port of a break is to be looked at next.
 std::optional<TimePoint>
-OpenBreaks::next_look(const Open& open)
+UnresolvedFailures::next_look(const Open& open)
 {
     if (!open.call.is_looked_at || open.looks >= look_after.size())
         return std::nullopt;
@@ -213,7 +215,7 @@
 }
 
 std::optional<TimePoint>
-OpenBreaks::next_due() const
+UnresolvedFailures::next_due() const
 {
     std::optional<TimePoint> next;
     const auto consider = [&next](std::optional<TimePoint> at) {
@@ -228,7 +230,7 @@
 }
 
 void
-OpenBreaks::expire(TimePoint now)
+UnresolvedFailures::expire(TimePoint now)
 {
     std::erase_if(m_breaks, [now](const Open& open) {
         return open.call.broke_at + open_for <= now;
--- a/src/libcrosslink/forward/open_breaks_test.cpp
+++ b/src/libcrosslink/forward/unresolved_failures_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/forward/open_breaks.h>
+#include <crosslink/forward/unresolved_failures.h>
 
 #include <crosslink/forward/runner_entry.h>
 
@@ -23,7 +23,7 @@
 }
 
 /// A call of `request` that broke off at `runner`, whose start was 1.
-OpenBreak
+UnresolvedFailure
 broken(const std::string& request, const std::string& runner, int millis)
 {
     return {request, runner, 1, "a:" + runner, false, at(millis), true};
@@ -33,7 +33,7 @@
 
 TEST_CASE("calls that broke at a process count once its end is known")
 {
-    OpenBreaks breaks;
+    UnresolvedFailures breaks;
     CHECK_FALSE(breaks.add(broken("d1", "r1", 0), at(0)));
     CHECK_FALSE(breaks.add(broken("d2", "r1", 10), at(10)));
     CHECK_FALSE(breaks.add(broken("d3", "r2", 20), at(20)));
@@ -52,9 +52,9 @@
 
 TEST_CASE("a request that a process broke several times has one end there")
 {
-    OpenBreaks breaks;
+    UnresolvedFailures breaks;
     breaks.add(broken("d", "r", 0), at(0));
-    OpenBreak again = broken("d", "r", 1500);
+    UnresolvedFailure again = broken("d", "r", 1500);
     again.again = true;
     breaks.add(again, at(1500));
     const auto calls = breaks.ended({"r", 1}, at(2500));
@@ -64,14 +64,14 @@
     // Nor two where two instances saw it.
     CrashHistory history;
     CHECK(history.ended(calls[0], at(2500)));
-    BrokenCall other = calls[0];
+    InterruptedCall other = calls[0];
     other.ended_at = at(1800);
     CHECK_FALSE(history.ended(other, at(2600)));
 }
 
 TEST_CASE("a break of which nothing is learned in time is no end")
 {
-    OpenBreaks breaks;
+    UnresolvedFailures breaks;
     breaks.add(broken("d", "r", 0), at(0));
     CHECK_FALSE(breaks.has("d", at(6000)));
     CHECK(breaks.ended({"r", 1}, at(6000)).empty());
@@ -79,7 +79,7 @@
 
 TEST_CASE("a process that answers later calls, or leaves, has no end")
 {
-    OpenBreaks breaks;
+    UnresolvedFailures breaks;
     breaks.add(broken("d", "r", 0), at(0));
     breaks.lives({"r", 1}, at(0));
     CHECK(breaks.has("d", at(1)));
@@ -92,7 +92,7 @@
 
 TEST_CASE("a new process at the address tells that the one before ended")
 {
-    OpenBreaks breaks;
+    UnresolvedFailures breaks;
     breaks.add(broken("d1", "r1", 0), at(0));
     breaks.add(broken("d2", "r1", 0), at(0));
     breaks.add(broken("d3", "r2", 0), at(0));
@@ -104,14 +104,14 @@
 
 TEST_CASE("a runner that goes by itself ended, a zone that goes did not")
 {
-    OpenBreaks breaks;
+    UnresolvedFailures breaks;
     breaks.add(broken("d", "r", 0), at(0));
     breaks.gone({"r", 1}, "z", 6, at(1000));
     CHECK(breaks.take_gone(at(1400)).empty());
     CHECK(breaks.next_due() == at(250));
     CHECK(breaks.take_gone(at(2500)).size() == 1);
 
-    OpenBreaks cut;
+    UnresolvedFailures cut;
     cut.add(broken("d", "r", 0), at(0));
     cut.gone({"r", 1}, "z", 6, at(1000));
     for (const char* other : {"r2", "r3"})
@@ -122,16 +122,16 @@
 
 TEST_CASE("ports are looked at a few times, however many calls broke there")
 {
-    OpenBreaks breaks;
+    UnresolvedFailures breaks;
     for (int i = 0; i < 20; ++i)
         breaks.add(broken("d" + std::to_string(i), "r", 10 * i), at(10 * i));
-    OpenBreak failed = broken("d", "other", 0);
+    UnresolvedFailure failed = broken("d", "other", 0);
     failed.is_looked_at = false;
     breaks.add(failed, at(0));
     CHECK(breaks.take_due(at(200)).empty());
     int looks = 0;
     for (int ms = 200; ms < 6000; ms += 10)
-        for (const PortToLookAt& port : breaks.take_due(at(ms))) {
+        for (const ProbeTarget& port : breaks.take_due(at(ms))) {
             CHECK(port.runner == "r");
             CHECK(port.address == "a:r");
             ++looks;
@@ -143,10 +143,11 @@
 
 TEST_CASE("open breaks are bounded, and the newest stay")
 {
-    OpenBreaks breaks;
-    for (std::size_t i = 0; i < 2 * OpenBreaks::most_open; ++i)
+    UnresolvedFailures breaks;
+    for (std::size_t i = 0; i < 2 * UnresolvedFailures::most_open; ++i)
         breaks.add(broken("d" + std::to_string(i), "r", 0), at(0));
-    CHECK(breaks.ended({"r", 1}, at(10)).size() == OpenBreaks::most_open);
+    CHECK(breaks.ended({"r", 1}, at(10)).size() ==
+          UnresolvedFailures::most_open);
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/forward/warm_up_limit_test.cpp
+++ b/src/libcrosslink/forward/warm_up_limit_test.cpp
@@ -28,11 +28,12 @@
 }
 
 ListedRunner
-runner(const std::string& id, const std::string& zone, std::uint64_t born = 1)
+runner(const std::string& id, const std::string& zone,
+       std::uint64_t start_ms = 1)
 {
     ListedRunner listed;
     listed.id = id;
-    listed.born = born;
+    listed.start_ms = start_ms;
     listed.service = "s";
     listed.address = "127.0.0.1:1";
     listed.zone = zone;
@@ -121,7 +122,7 @@
             ListedRunner listed =
                 runner("r" + std::to_string(i), zone_of(place), m_back ? 2 : 1);
             if (i >= m_scene.cold)
-                listed.born = 1;
+                listed.start_ms = 1;
             else if (m_back)
                 listed.cold_for = cold_time;
             table.put(listed, at(ms));
@@ -147,7 +148,7 @@
         for (std::size_t i = 0; i < m_tables.size(); ++i)
             for (int r = 0; r < m_scene.cold; ++r) {
                 const std::string id = "r" + std::to_string(r);
-                m_tables[i].contact_lost(id, at(900));
+                m_tables[i].connection_failed(id, at(900));
                 const int delay = static_cast<int>(
                     m_random() %
                     static_cast<std::uint64_t>(m_scene.news_spread_ms + 1));
--- a/src/libcrosslink/kept/fetch_watch.cpp
+++ b/src/libcrosslink/kept/fetch_delay_tracker.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/kept/fetch_watch.h>
+#include <crosslink/kept/fetch_delay_tracker.h>
 
 #include <algorithm>
 #include <cmath>
@@ -58,16 +58,16 @@
 } // namespace
 
 void
-FetchWatch::sent(const FetchWay& way, TimePoint expected)
+FetchDelayTracker::sent(const FetchPath& path, TimePoint expected)
 {
-    m_ways[way].open.insert(expected);
+    m_paths[path].open.insert(expected);
 }
 
 void
-FetchWatch::ended(const FetchWay& way, TimePoint expected)
+FetchDelayTracker::ended(const FetchPath& path, TimePoint expected)
 {
-    const auto found = m_ways.find(way);
-    if (found == m_ways.end())
+    const auto found = m_paths.find(path);
+    if (found == m_paths.end())
         return;
     std::multiset<TimePoint>& open = found->second.open;
     if (const auto call = open.find(expected); call != open.end())
@@ -75,23 +75,25 @@
 }
 
 void
-FetchWatch::first_event(const FetchWay& way, TimePoint expected, TimePoint now)
+FetchDelayTracker::first_event(const FetchPath& path, TimePoint expected,
+                               TimePoint now)
 {
-    ended(way, expected);
-    add_samples(m_ways[way], 1, millis(now - expected), now);
+    ended(path, expected);
+    add_samples(m_paths[path], 1, millis(now - expected), now);
 }
 
 void
-FetchWatch::seen_by_others(const FetchSamples& samples, TimePoint now)
+FetchDelayTracker::add_remote_samples(const FetchSamples& samples,
+                                      TimePoint now)
 {
     if (samples.calls > 0)
-        add_samples(m_ways[samples.way], samples.calls, samples.late_ms, now);
+        add_samples(m_paths[samples.path], samples.calls, samples.late_ms, now);
 }
 
 /// Takes in that `calls` events came `late_ms` late, in the mean.
 void
-FetchWatch::add_samples(Seen& seen, std::uint32_t calls, double late_ms,
-                        TimePoint now)
+FetchDelayTracker::add_samples(Seen& seen, std::uint32_t calls, double late_ms,
+                               TimePoint now)
 {
     const double weight = 1 - std::pow(1 - sample_weight, calls);
     if (is_known(seen, now))
@@ -107,31 +109,32 @@
 }
 
 std::vector<FetchSamples>
-FetchWatch::take_untold()
+FetchDelayTracker::take_unreported()
 {
     std::vector<FetchSamples> result;
-    for (auto& [way, seen] : m_ways) {
+    for (auto& [path, seen] : m_paths) {
         if (seen.untold.calls == 0)
             continue;
-        seen.untold.way = way;
+        seen.untold.path = path;
         result.push_back(seen.untold);
         seen.untold = {};
     }
     return result;
 }
 
-std::vector<FetchLateness>
-FetchWatch::lateness(TimePoint now) const
+std::vector<FetchDelay>
+FetchDelayTracker::delays(TimePoint now) const
 {
-    std::vector<FetchLateness> all = known_lateness(now);
+    std::vector<FetchDelay> all = known_lateness(now);
     std::map<std::string_view, double> least;
-    for (const FetchLateness& item : all) {
-        const auto place = least.try_emplace(item.way.zone, item.late_ms).first;
+    for (const FetchDelay& item : all) {
+        const auto place =
+            least.try_emplace(item.path.zone, item.late_ms).first;
         place->second = std::min(place->second, item.late_ms);
     }
-    std::vector<FetchLateness> worth_telling;
-    for (const FetchLateness& item : all) {
-        const double best = least[item.way.zone];
+    std::vector<FetchDelay> worth_telling;
+    for (const FetchDelay& item : all) {
+        const double best = least[item.path.zone];
         if (item.late_ms <= best || item.late_ms > best + told_ms)
             worth_telling.push_back(item);
     }
@@ -139,36 +142,36 @@
 }
 
 /// Returns how late calls are by all ways of which that is known.
-std::vector<FetchLateness>
-FetchWatch::known_lateness(TimePoint now) const
+std::vector<FetchDelay>
+FetchDelayTracker::known_lateness(TimePoint now) const
 {
-    std::vector<FetchLateness> result;
-    for (const auto& [way, seen] : m_ways) {
+    std::vector<FetchDelay> result;
+    for (const auto& [path, seen] : m_paths) {
         if (is_told(seen, now))
-            result.push_back({way, seen.told_late_ms, now - *seen.told_at});
+            result.push_back({path, seen.told_late_ms, now - *seen.told_at});
         else if (is_known(seen, now))
-            result.push_back({way, seen.late_ms, now - seen.at});
+            result.push_back({path, seen.late_ms, now - seen.at});
     }
     return result;
 }
 
 void
-FetchWatch::told(const FetchLateness& fleet, TimePoint now)
+FetchDelayTracker::set_fleet_delay(const FetchDelay& fleet, TimePoint now)
 {
-    Seen& seen = m_ways[fleet.way];
+    Seen& seen = m_paths[fleet.path];
     seen.told_late_ms = fleet.late_ms;
     seen.told_at = now - fleet.age;
 }
 
 bool
-FetchWatch::is_known(const Seen& seen, TimePoint now)
+FetchDelayTracker::is_known(const Seen& seen, TimePoint now)
 {
     return is_told(seen, now) || (seen.known && now - seen.at <= sample_holds);
 }
 
 /// Returns whether the fleet's word is fresher than what was seen here lately.
 bool
-FetchWatch::is_told(const Seen& seen, TimePoint now)
+FetchDelayTracker::is_told(const Seen& seen, TimePoint now)
 {
     if (!seen.told_at || now - *seen.told_at > sample_holds)
         return false;
@@ -178,7 +181,7 @@
 /// Returns how late the events of `seen` are: those that came, or, where none
 /// came since it was due, the one that is waited for longest.
 double
-FetchWatch::late_ms(const Seen& seen, TimePoint now)
+FetchDelayTracker::late_ms(const Seen& seen, TimePoint now)
 {
     double late = 0;
     if (is_told(seen, now))
@@ -191,14 +194,14 @@
 }
 
 double
-FetchWatch::later_ms(const FetchWay& way, TimePoint now) const
+FetchDelayTracker::later_ms(const FetchPath& path, TimePoint now) const
 {
-    const auto own = m_ways.find(way);
-    if (own == m_ways.end())
+    const auto own = m_paths.find(path);
+    if (own == m_paths.end())
         return 0;
     std::optional<double> least_late;
-    for (const auto& [other, seen] : m_ways)
-        if (other.zone == way.zone && other.store != way.store &&
+    for (const auto& [other, seen] : m_paths)
+        if (other.zone == path.zone && other.store != path.store &&
             is_known(seen, now)) {
             const double late = late_ms(seen, now);
             least_late = std::min(least_late.value_or(late), late);
@@ -209,11 +212,11 @@
 }
 
 bool
-FetchWatch::should_fetch(const FetchWay& way, std::uint32_t tokens,
-                         Micros objective, std::uint64_t random,
-                         TimePoint now) const
+FetchDelayTracker::should_fetch(const FetchPath& path, std::uint32_t tokens,
+                                Micros objective, std::uint64_t random,
+                                TimePoint now) const
 {
-    const double later = later_ms(way, now);
+    const double later = later_ms(path, now);
     const double allowed =
         bearable_part * millis(objective) + worth_ms_per_token * tokens;
     if (later <= allowed)
@@ -226,20 +229,20 @@
 }
 
 std::set<std::string, std::less<>>
-FetchWatch::slow_stores(TimePoint now) const
+FetchDelayTracker::slow_stores(TimePoint now) const
 {
     std::set<std::string, std::less<>> slow;
-    for (const auto& [way, seen] : m_ways)
-        if (later_ms(way, now) > slow_ms)
-            slow.insert(way.store);
+    for (const auto& [path, seen] : m_paths)
+        if (later_ms(path, now) > slow_ms)
+            slow.insert(path.store);
     return slow;
 }
 
 void
-FetchWatch::pass_over_slow(std::span<const PromptPart> parts,
-                           std::span<KeptPlace> places, std::string_view zone,
-                           Micros objective, std::uint64_t random,
-                           TimePoint now) const
+FetchDelayTracker::skip_slow_stores(std::span<const PromptPart> parts,
+                                    std::span<KeptPlace> places,
+                                    std::string_view zone, Micros objective,
+                                    std::uint64_t random, TimePoint now) const
 {
     std::uint32_t tokens = 0;
     for (const PromptPart& part : parts)
--- a/src/libcrosslink/kept/fetch_watch_test.cpp
+++ b/src/libcrosslink/kept/fetch_delay_tracker_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/kept/fetch_watch.h>
+#include <crosslink/kept/fetch_delay_tracker.h>
 
 #include <catch2/catch.hpp>
 
@@ -25,7 +25,7 @@
 
 /// Returns how many of a thousand calls fetch.
 int
-fetches_of(const FetchWatch& watch, int millis,
+fetches_of(const FetchDelayTracker& watch, int millis,
            std::uint32_t tokens = large_part,
            Micros objective = short_objective)
 {
@@ -39,7 +39,7 @@
 /// Lets 20 calls that fetch from each store come `slow` and `other`
 /// milliseconds later than expected.
 void
-let_come_late(FetchWatch& watch, int slow, int other)
+let_come_late(FetchDelayTracker& watch, int slow, int other)
 {
     for (int i = 0; i < 20; ++i) {
         watch.first_event({"slow", "a"}, at(i), at(i + slow));
@@ -50,7 +50,7 @@
 /// Returns what two parts come to, of which the first one lies in the slow
 /// store, for a call that is not among the few that fetch from there.
 std::vector<KeptPlace>
-places_with_slow_first(const FetchWatch& watch,
+places_with_slow_first(const FetchDelayTracker& watch,
                        const std::vector<PromptPart>& parts, int millis)
 {
     std::vector<KeptPlace> places(2);
@@ -59,8 +59,8 @@
     places[0].store = "slow";
     places[1].store = "other";
     constexpr std::uint64_t not_among_the_few = 999;
-    watch.pass_over_slow(parts, places, "a", short_objective, not_among_the_few,
-                         at(millis));
+    watch.skip_slow_stores(parts, places, "a", short_objective,
+                           not_among_the_few, at(millis));
     return places;
 }
 
@@ -68,7 +68,7 @@
 
 TEST_CASE("few calls fetch from a store that is slower than the others")
 {
-    FetchWatch watch;
+    FetchDelayTracker watch;
     CHECK(fetches_of(watch, 0) == 1000);
     let_come_late(watch, 1200, 100);
     const int count = fetches_of(watch, 1230);
@@ -79,7 +79,7 @@
 
 TEST_CASE("the stores that are much slower than the best one are told")
 {
-    FetchWatch watch;
+    FetchDelayTracker watch;
     let_come_late(watch, 1200, 100);
     CHECK(watch.slow_stores(at(1230)).contains("slow"));
     CHECK(watch.slow_stores(at(1230)).size() == 1);
@@ -88,7 +88,7 @@
 
 TEST_CASE("a large part is worth a longer wait than a small one")
 {
-    FetchWatch watch;
+    FetchDelayTracker watch;
     let_come_late(watch, 220, 0);
     CHECK(fetches_of(watch, 250, small_part) < 200);
     CHECK(fetches_of(watch, 250, large_part) == 1000);
@@ -96,7 +96,7 @@
 
 TEST_CASE("a call with a long objective can bear a longer wait")
 {
-    FetchWatch watch;
+    FetchDelayTracker watch;
     let_come_late(watch, 420, 0);
     const Micros long_objective = std::chrono::milliseconds(1200);
     CHECK(fetches_of(watch, 440, small_part) < 200);
@@ -105,7 +105,7 @@
 
 TEST_CASE("calls of busy runners, expected late, tell of no slow store")
 {
-    FetchWatch watch;
+    FetchDelayTracker watch;
     for (int i = 0; i < 20; ++i) {
         watch.first_event({"slow", "a"}, at(i + 900), at(i + 950));
         watch.first_event({"other", "a"}, at(i + 20), at(i + 60));
@@ -115,7 +115,7 @@
 
 TEST_CASE("a call that waits long tells of a slow store before it is answered")
 {
-    FetchWatch watch;
+    FetchDelayTracker watch;
     watch.first_event({"other", "a"}, at(0), at(100));
     watch.sent({"slow", "a"}, at(100));
     CHECK(fetches_of(watch, 300) == 1000);
@@ -126,7 +126,7 @@
 
 TEST_CASE("a part whose forerunner is read is read too")
 {
-    FetchWatch watch;
+    FetchDelayTracker watch;
     let_come_late(watch, 1200, 0);
     const std::vector<PromptPart> parts{{"a", large_part}, {"b", small_part}};
     const auto places = places_with_slow_first(watch, parts, 1230);
@@ -138,7 +138,7 @@
 
 TEST_CASE("a small part is worth the wait of the parts behind it")
 {
-    FetchWatch watch;
+    FetchDelayTracker watch;
     let_come_late(watch, 220, 0);
     const std::vector<PromptPart> parts{{"a", small_part}, {"b", large_part}};
     const auto places = places_with_slow_first(watch, parts, 230);
@@ -148,7 +148,7 @@
 
 TEST_CASE("where all stores are slow, none is passed over")
 {
-    FetchWatch watch;
+    FetchDelayTracker watch;
     watch.first_event({"slow", "a"}, at(0), at(0 + 1200));
     CHECK(fetches_of(watch, 1210) == 1000);
     watch.first_event({"other", "a"}, at(0), at(0 + 1150));
@@ -158,18 +158,18 @@
 TEST_CASE("what each of many instances sees once is known to all")
 {
     // Each sees one late call of the slow store, and one of another.
-    FetchWatch holder;
+    FetchDelayTracker holder;
     for (int i = 0; i < 20; ++i) {
-        FetchWatch instance;
+        FetchDelayTracker instance;
         instance.first_event({"slow", "a"}, at(i), at(i + 700));
         instance.first_event({"other", "a"}, at(i), at(i + 5));
-        for (const FetchSamples& samples : instance.take_untold())
-            holder.seen_by_others(samples, at(800));
-        CHECK(instance.take_untold().empty());
+        for (const FetchSamples& samples : instance.take_unreported())
+            holder.add_remote_samples(samples, at(800));
+        CHECK(instance.take_unreported().empty());
     }
-    FetchWatch fresh;
-    for (const FetchLateness& store : holder.lateness(at(900)))
-        fresh.told(store, at(900));
+    FetchDelayTracker fresh;
+    for (const FetchDelay& store : holder.delays(at(900)))
+        fresh.set_fleet_delay(store, at(900));
     CHECK(fetches_of(fresh, 950) < 200);
     CHECK(fresh.slow_stores(at(950)).contains("slow"));
     CHECK(fetches_of(fresh, 9000) == 1000);
@@ -177,50 +177,50 @@
 
 TEST_CASE("samples of several calls weigh as much as the calls one by one")
 {
-    FetchWatch one_by_one;
-    FetchWatch together;
-    for (FetchWatch* watch : {&one_by_one, &together}) {
+    FetchDelayTracker one_by_one;
+    FetchDelayTracker together;
+    for (FetchDelayTracker* watch : {&one_by_one, &together}) {
         watch->first_event({"slow", "a"}, at(0), at(0));
         watch->first_event({"other", "a"}, at(0), at(0));
     }
     for (int i = 0; i < 3; ++i)
         one_by_one.first_event({"slow", "a"}, at(0), at(400));
-    together.seen_by_others({{"slow", "a"}, 3, 400}, at(400));
-    const auto late = [](const FetchWatch& watch) {
-        return watch.lateness(at(400)).back().late_ms;
+    together.add_remote_samples({{"slow", "a"}, 3, 400}, at(400));
+    const auto late = [](const FetchDelayTracker& watch) {
+        return watch.delays(at(400)).back().late_ms;
     };
     CHECK(late(together) == Approx(late(one_by_one)));
-    CHECK(one_by_one.take_untold().back().calls == 4);
-    CHECK(together.take_untold().back().late_ms == Approx(300));
+    CHECK(one_by_one.take_unreported().back().calls == 4);
+    CHECK(together.take_unreported().back().late_ms == Approx(300));
 }
 
 TEST_CASE("the fleet's word goes before what one instance saw")
 {
-    FetchWatch watch;
+    FetchDelayTracker watch;
     let_come_late(watch, 1200, 100);
-    watch.told({{"slow", "a"}, 0, Micros{0}}, at(1220));
-    watch.told({{"other", "a"}, 0, Micros{0}}, at(1220));
+    watch.set_fleet_delay({{"slow", "a"}, 0, Micros{0}}, at(1220));
+    watch.set_fleet_delay({{"other", "a"}, 0, Micros{0}}, at(1220));
     CHECK(fetches_of(watch, 1230) == 1000);
 }
 
 TEST_CASE("only the best way of a zone and late ones are told")
 {
-    FetchWatch watch;
+    FetchDelayTracker watch;
     for (const char* store : {"s1", "s2", "s3"})
         watch.first_event({store, "a"}, at(0), at(20));
     watch.first_event({"s4", "a"}, at(0), at(10));
     watch.first_event({"s5", "a"}, at(0), at(400));
     watch.first_event({"s1", "b"}, at(0), at(300));
-    const auto told = watch.lateness(at(400));
+    const auto told = watch.delays(at(400));
     REQUIRE(told.size() == 3);
-    CHECK(told[0].way == FetchWay{"s1", "b"});
-    CHECK(told[1].way == FetchWay{"s4", "a"});
-    CHECK(told[2].way == FetchWay{"s5", "a"});
+    CHECK(told[0].path == FetchPath{"s1", "b"});
+    CHECK(told[1].path == FetchPath{"s4", "a"});
+    CHECK(told[2].path == FetchPath{"s5", "a"});
 }
 
 TEST_CASE("a store that is late for one zone is not for another")
 {
-    FetchWatch watch;
+    FetchDelayTracker watch;
     let_come_late(watch, 1200, 100);
     watch.first_event({"slow", "b"}, at(0), at(10));
     watch.first_event({"other", "b"}, at(0), at(10));
@@ -231,9 +231,9 @@
 
 TEST_CASE("an instance that is cut off goes by what it sees itself")
 {
-    FetchWatch watch;
-    watch.told({{"slow", "a"}, 0, Micros{0}}, at(0));
-    watch.told({{"other", "a"}, 0, Micros{0}}, at(0));
+    FetchDelayTracker watch;
+    watch.set_fleet_delay({{"slow", "a"}, 0, Micros{0}}, at(0));
+    watch.set_fleet_delay({{"other", "a"}, 0, Micros{0}}, at(0));
     let_come_late(watch, 1200, 100);
     CHECK(fetches_of(watch, 1230) < 200);
 }
--- a/src/libcrosslink/kept/import_check.cpp
+++ b/src/libcrosslink/kept/import_check.cpp
@@ -25,13 +25,13 @@
 void
 check_lookup(std::span<const Digest> asked, std::span<const SealedBlock> found)
 {
-    require(Invariant::BlockIdentity, found.size() <= asked.size());
+    check_invariant(Invariant::BlockIdentity, found.size() <= asked.size());
     const bool same =
         std::equal(found.begin(), found.end(), asked.begin(),
                    [](const SealedBlock& block, const Digest& key) {
                        return block.key == key;
                    });
-    require(Invariant::BlockIdentity, same);
+    check_invariant(Invariant::BlockIdentity, same);
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/kept/kept_asking.cpp
+++ b/src/libcrosslink/kept/kept_asking.cpp
@@ -37,9 +37,9 @@
     if (entry.state == State::Saving)
         return KeptPlace::read(Reason::BeingSaved);
     if (entry.state == State::LetGo)
-        return KeptPlace::read(Reason::LetGo);
+        return KeptPlace::read(Reason::BeingFreed);
     if (!m_room.is_reachable(entry.store))
-        return KeptPlace::read(Reason::StoreAway);
+        return KeptPlace::read(Reason::StoreUnreachable);
     if (!m_clock.is_known())
         return KeptPlace::read(Reason::Unknown);
     KeptPlace place;
@@ -106,8 +106,9 @@
         KeptRoom::room_of(part.tokens), forerunner,
         [&](const std::string& other) { return may_have(other, key); }, now);
     if (store.empty())
-        return unless_known(m_room.is_full() ? KeptPlace::Reason::NoRoom
-                                             : KeptPlace::Reason::StoreAway);
+        return unless_known(m_room.is_full()
+                                ? KeptPlace::Reason::NoRoom
+                                : KeptPlace::Reason::StoreUnreachable);
     if (known)
         move_away(key, *known, now);
     return place_part(key, store, part.tokens, longest, now);
--- a/src/libcrosslink/kept/kept_directory.cpp
+++ b/src/libcrosslink/kept/kept_directory.cpp
@@ -131,7 +131,7 @@
         update.entries = std::move(*changes);
         return update;
     }
-    update.whole = true;
+    update.is_snapshot = true;
     for (const auto& [key, entry] : m_parts)
         if (entry.state == State::Held)
             update.entries.push_back({key.first, key.second, entry.store});
@@ -177,14 +177,14 @@
 }
 
 void
-KeptDirectory::earlier_silent(TimePoint now)
+KeptDirectory::earlier_holders_stopped(TimePoint now)
 {
     m_silent_from = std::min(m_silent_from, std::max(now, m_began));
 }
 
 void
-KeptDirectory::listed(std::string_view store, const KeptListing& listing,
-                      TimePoint now)
+KeptDirectory::apply_listing(std::string_view store, const KeptListing& listing,
+                             TimePoint now)
 {
     if (!m_room.contains(store))
         return;
@@ -262,8 +262,8 @@
 }
 
 bool
-KeptDirectory::changed(std::string_view store, const KeptChanges& changes,
-                       TimePoint now)
+KeptDirectory::apply_changes(std::string_view store, const KeptChanges& changes,
+                             TimePoint now)
 {
     if (!m_room.contains(store))
         return true;
--- a/src/libcrosslink/kept/kept_directory_test.cpp
+++ b/src/libcrosslink/kept/kept_directory_test.cpp
@@ -31,9 +31,9 @@
 }
 
 KeptSpace
-space(std::uint64_t version = 1, const std::string& wall = "")
+space(std::uint64_t version = 1, const std::string& isolated_account = "")
 {
-    return {wall, "m", version, 0};
+    return {isolated_account, "m", version, 0};
 }
 
 KeptListing
@@ -54,8 +54,8 @@
                                             managed_store(big, 16'000, 10)};
     directory.set_stores(stores);
     directory.begin(term, at(0));
-    directory.listed(fast, empty_listing(1, 1000), at(0));
-    directory.listed(big, empty_listing(1, 1000), at(0));
+    directory.apply_listing(fast, empty_listing(1, 1000), at(0));
+    directory.apply_listing(big, empty_listing(1, 1000), at(0));
     return directory;
 }
 
@@ -84,8 +84,8 @@
 keep(KeptDirectory& directory, const std::string& id)
 {
     KeptAnswer told = ask(directory, id, 0);
-    directory.changed(told.places[0].store, stored(told.space, id, 1100),
-                      at(100));
+    directory.apply_changes(told.places[0].store, stored(told.space, id, 1100),
+                            at(100));
     return told;
 }
 
@@ -100,8 +100,8 @@
     REQUIRE(first.places.size() == 1);
     CHECK(first.places[0].kind == KeptPlace::Kind::Save);
     CHECK(ask(directory, "p", 10).places[0].kind == KeptPlace::Kind::None);
-    directory.changed(first.places[0].store, stored(first.space, "p", 1100),
-                      at(100));
+    directory.apply_changes(first.places[0].store,
+                            stored(first.space, "p", 1100), at(100));
     const KeptAnswer later = ask(directory, "p", 110);
     CHECK(later.places[0].kind == KeptPlace::Kind::Fetch);
     CHECK(later.places[0].store == first.places[0].store);
@@ -123,8 +123,8 @@
     KeptListing listing = empty_listing(1, 2000);
     listing.whole.push_back({old.space, "p", 160});
     directory.begin(9, at(1000));
-    directory.listed(fast, listing, at(1000));
-    directory.listed(big, empty_listing(1, 2000), at(1000));
+    directory.apply_listing(fast, listing, at(1000));
+    directory.apply_listing(big, empty_listing(1, 2000), at(1000));
     const KeptAnswer kept = ask(directory, "p", 1100);
     CHECK(kept.space == old.space);
     CHECK(kept.places[0].kind == KeptPlace::Kind::Fetch);
@@ -150,11 +150,11 @@
     const KeptAnswer told = ask(directory, "p", 200);
     REQUIRE(told.places[0].kind == KeptPlace::Kind::Fetch);
     const auto all = [](const KeptSpace&) { return true; };
-    CHECK(directory.due(all, 1, at(200)).empty());
+    CHECK(directory.take_due_frees(all, 1, at(200)).empty());
     CHECK(ask(directory, "p", 210).places[0].kind == KeptPlace::Kind::None);
     const std::int64_t holds = 200 + kept_answer_time.count();
-    CHECK(directory.due(never, 1, at(holds)).empty());
-    const auto frees = directory.due(never, 1, at(holds + 1000));
+    CHECK(directory.take_due_frees(never, 1, at(holds)).empty());
+    const auto frees = directory.take_due_frees(never, 1, at(holds + 1000));
     REQUIRE(frees.size() == 1);
     CHECK(frees[0].parts.size() == 1);
     CHECK(frees[0].boot == 1);
@@ -163,8 +163,8 @@
 TEST_CASE("a store that started anew is not written to while answers hold")
 {
     KeptDirectory directory = directory_with_stores();
-    directory.listed(fast, empty_listing(2, 1500), at(500));
-    directory.listed(big, empty_listing(2, 1500), at(500));
+    directory.apply_listing(fast, empty_listing(2, 1500), at(500));
+    directory.apply_listing(big, empty_listing(2, 1500), at(500));
     CHECK(ask(directory, "p", 600).places[0].kind == KeptPlace::Kind::None);
     const std::int64_t later = 500 + kept_answer_time.count() + 600;
     CHECK(ask(directory, "p", later).places[0].kind == KeptPlace::Kind::Save);
@@ -179,11 +179,11 @@
     CHECK(directory.wants_listing(where, at(5000)));
     KeptListing listing = empty_listing(1, 6000);
     listing.broken.push_back({first.space, "p", 160});
-    directory.listed(where, listing, at(5000));
+    directory.apply_listing(where, listing, at(5000));
     CHECK(ask(directory, "p", 5010).places[0].kind == KeptPlace::Kind::None);
-    const auto frees = directory.due(never, 1, at(9000));
+    const auto frees = directory.take_due_frees(never, 1, at(9000));
     REQUIRE(frees.size() == 1);
-    directory.listed(where, empty_listing(1, 10'100), at(9100));
+    directory.apply_listing(where, empty_listing(1, 10'100), at(9100));
     CHECK(ask(directory, "p", 9200).places[0].kind == KeptPlace::Kind::Save);
 }
 
@@ -201,7 +201,7 @@
     CHECK_FALSE(replica.find(space(2), parts, true, at(210)));
     CHECK_FALSE(
         replica.find(space(), parts, true, at(200 + kept_answer_time.count())));
-    directory.due([](const KeptSpace&) { return true; }, 1, at(300));
+    directory.take_due_frees([](const KeptSpace&) { return true; }, 1, at(300));
     const auto [term, place] = replica.position();
     replica.take(directory.update_since(term, place, at(310)), at(310));
     CHECK_FALSE(replica.find(space(), parts, false, at(320)));
@@ -259,8 +259,8 @@
             m_whole.insert(item->first);
             for (KeptDirectory* directory : m_directories)
                 if (tell)
-                    directory->changed(where, stored(text, id, clock(now)),
-                                       at(now));
+                    directory->apply_changes(
+                        where, stored(text, id, clock(now)), at(now));
             item = m_writing.erase(item);
         }
         std::erase_if(m_fetches, [&](const Fetch& fetch) {
@@ -274,7 +274,8 @@
         const auto obsolete = [all_obsolete](const KeptSpace&) {
             return all_obsolete;
         };
-        for (const KeptFree& free : directory.due(obsolete, 1, at(now)))
+        for (const KeptFree& free :
+             directory.take_due_frees(obsolete, 1, at(now)))
             for (const KeptPart& part : free.parts) {
                 const Key key{free.store, part.space, part.id};
                 for (const Fetch& fetch : m_fetches)
@@ -291,7 +292,7 @@
         for (const auto& [place, text, id] : m_whole)
             if (place == where)
                 listing.whole.push_back({text, id, 160});
-        directory.listed(where, listing, at(now));
+        directory.apply_listing(where, listing, at(now));
     }
 
     static RunnerMillis clock(std::int64_t now)
@@ -325,18 +326,18 @@
     KeptSpace earlier = space();
     earlier.term = 7;
     listing.whole.push_back({earlier.text(), "p", 160});
-    directory.listed(fast, listing, at(10));
-    CHECK(directory.due(all, 1, at(100)).empty());
+    directory.apply_listing(fast, listing, at(10));
+    CHECK(directory.take_due_frees(all, 1, at(100)).empty());
     SECTION("its grace must be over")
     {
-        CHECK(directory.due(all, 1, at(11'400)).empty());
-        CHECK(directory.due(all, 1, at(11'600)).size() == 1);
+        CHECK(directory.take_due_frees(all, 1, at(11'400)).empty());
+        CHECK(directory.take_due_frees(all, 1, at(11'600)).size() == 1);
     }
     SECTION("or it has stopped telling")
     {
-        directory.earlier_silent(at(2000));
-        CHECK(directory.due(all, 1, at(5400)).empty());
-        CHECK(directory.due(all, 1, at(5600)).size() == 1);
+        directory.earlier_holders_stopped(at(2000));
+        CHECK(directory.take_due_frees(all, 1, at(5400)).empty());
+        CHECK(directory.take_due_frees(all, 1, at(5600)).size() == 1);
     }
 }
 
@@ -366,16 +367,16 @@
     CHECK(ask(directory, "p", 1700).places[0].reason ==
           KeptPlace::Reason::BeingSaved);
     // The first one comes late: it is not told, and freed.
-    directory.changed(first.places[0].store, stored(first.space, "p", 2800),
-                      at(1800));
-    directory.changed(again.places[0].store, stored(first.space, "p", 2900),
-                      at(1900));
+    directory.apply_changes(first.places[0].store,
+                            stored(first.space, "p", 2800), at(1800));
+    directory.apply_changes(again.places[0].store,
+                            stored(first.space, "p", 2900), at(1900));
     CHECK(ask(directory, "p", 2000).places[0].store == again.places[0].store);
-    CHECK(directory.due(never, 1, at(4000)).empty());
-    const auto frees = directory.due(never, 1, at(6000));
+    CHECK(directory.take_due_frees(never, 1, at(4000)).empty());
+    const auto frees = directory.take_due_frees(never, 1, at(6000));
     REQUIRE(frees.size() == 1);
     CHECK(frees[0].store == first.places[0].store);
-    CHECK(directory.due(never, 1, at(12'000)).empty());
+    CHECK(directory.take_due_frees(never, 1, at(12'000)).empty());
 }
 
 TEST_CASE("room of a part that lies in two stores counts in both")
@@ -390,14 +391,14 @@
     earlier.term = 7;
     for (int i = 0; i < 9; ++i)
         listing.whole.push_back({earlier.text(), std::to_string(i), 160});
-    directory.listed(fast, listing, at(10));
-    directory.listed(big, listing, at(10));
+    directory.apply_listing(fast, listing, at(10));
+    directory.apply_listing(big, listing, at(10));
     // Each of them has room for nine parts of 160 tokens, and has nine.
     CHECK(ask(directory, "new", 20).places[0].reason ==
           KeptPlace::Reason::NoRoom);
     // The second copies are freed; then there is room for as many.
-    directory.earlier_silent(at(20));
-    CHECK(directory.due(never, 1, at(4000)).size() == 1);
+    directory.earlier_holders_stopped(at(20));
+    CHECK(directory.take_due_frees(never, 1, at(4000)).size() == 1);
     int saved = 0;
     for (int i = 0; i < 12; ++i)
         saved += ask(directory, "n" + std::to_string(i), 4100).places[0].kind ==
@@ -433,9 +434,9 @@
     directory.unreachable(fast);
     directory.unreachable(big);
     const KeptPlace place = ask(directory, "q", 30'000).places[0];
-    CHECK(place.reason == KeptPlace::Reason::StoreAway);
-    directory.listed(fast, empty_listing(1, 31'000), at(30'001));
-    directory.listed(big, empty_listing(1, 31'000), at(30'001));
+    CHECK(place.reason == KeptPlace::Reason::StoreUnreachable);
+    directory.apply_listing(fast, empty_listing(1, 31'000), at(30'001));
+    directory.apply_listing(big, empty_listing(1, 31'000), at(30'001));
     CHECK(ask(directory, "q", 30'100).places[0].kind == KeptPlace::Kind::Save);
 }
 
@@ -499,7 +500,7 @@
             }
             if (taken && stops && !silent && now >= end) {
                 silent = true;
-                next.earlier_silent(at(now));
+                next.earlier_holders_stopped(at(now));
             }
             const auto id = std::to_string(*rc::gen::inRange(0, 150));
             const auto length = *rc::gen::inRange<std::int64_t>(1, 3900);
--- a/src/libcrosslink/kept/kept_freeing.cpp
+++ b/src/libcrosslink/kept/kept_freeing.cpp
@@ -59,10 +59,10 @@
 }
 
 void
-KeptDirectory::make_room(double changed_part, TimePoint now)
+KeptDirectory::make_room(double updated_fraction, TimePoint now)
 {
     const bool full = m_room.is_full();
-    if (!full && !m_room.is_low(changed_part, let_go_tokens()))
+    if (!full && !m_room.is_low(updated_fraction, let_go_tokens()))
         return;
     double wanted = m_room.tokens_to_let_go();
     for (const Dispensable& item : dispensable(now)) {
@@ -88,10 +88,11 @@
 }
 
 std::vector<KeptFree>
-KeptDirectory::due(const std::function<bool(const KeptSpace&)>& obsolete,
-                   double changed_part, TimePoint now)
+KeptDirectory::take_due_frees(
+    const std::function<bool(const KeptSpace&)>& obsolete,
+    double updated_fraction, TimePoint now)
 {
-    make_room(changed_part, now);
+    make_room(updated_fraction, now);
     let_go_obsolete(obsolete, now);
     std::map<std::string, KeptFree> frees;
     for (auto& [key, entry] : m_parts) {
--- a/src/libcrosslink/kept/kept_part.cpp
+++ b/src/libcrosslink/kept/kept_part.cpp
@@ -22,7 +22,7 @@
 KeptSpace::text() const
 {
     return model + separator + std::to_string(version) + separator +
-           std::to_string(term) + separator + wall;
+           std::to_string(term) + separator + isolated_account;
 }
 
 std::optional<KeptSpace>
@@ -36,8 +36,8 @@
         field = text.substr(0, end);
         text.remove_prefix(end + 1);
     }
-    const auto version = whole_number<std::uint64_t>(fields[1]);
-    const auto term = whole_number<std::uint64_t>(fields[2]);
+    const auto version = parse_integer<std::uint64_t>(fields[1]);
+    const auto term = parse_integer<std::uint64_t>(fields[2]);
     if (!version || !term)
         return std::nullopt;
     return KeptSpace{std::string(text), std::string(fields[0]), *version,
--- a/src/libcrosslink/kept/kept_replica.cpp
+++ b/src/libcrosslink/kept/kept_replica.cpp
@@ -24,9 +24,9 @@
 {
     if (!update.ready || update.clock == 0)
         return;
-    if (update.term < m_term || (!update.whole && update.term != m_term))
+    if (update.term < m_term || (!update.is_snapshot && update.term != m_term))
         return;
-    if (update.whole) {
+    if (update.is_snapshot) {
         m_places.clear();
         m_terms.clear();
         m_changes.clear();
@@ -38,7 +38,7 @@
     m_clock.set(update.clock, asked - update.age);
     for (const KeptEntry& entry : update.entries) {
         apply(entry);
-        if (!update.whole)
+        if (!update.is_snapshot)
             remember(update.place, entry);
     }
 }
@@ -87,9 +87,9 @@
     update.term = m_term;
     update.clock = m_clock.told();
     update.age = now - m_clock.told_at();
-    update.whole = term != m_term || place < m_first;
-    update.place = update.whole ? m_place : std::max(place, m_place);
-    if (update.whole) {
+    update.is_snapshot = term != m_term || place < m_first;
+    update.place = update.is_snapshot ? m_place : std::max(place, m_place);
+    if (update.is_snapshot) {
         update.entries = all();
         return update;
     }
--- a/src/libcrosslink/kept/kept_replica_test.cpp
+++ b/src/libcrosslink/kept/kept_replica_test.cpp
@@ -30,7 +30,7 @@
     told.ready = true;
     told.term = 7;
     told.place = place;
-    told.whole = whole;
+    told.is_snapshot = whole;
     told.clock = clock;
     told.entries = std::move(entries);
     return told;
@@ -68,13 +68,13 @@
     CHECK_FALSE(parent.update_since(0, 0, at(0)).ready);
     parent.take(update(5, true, 1000, {kept("a", "s1"), kept("b", "s1")}),
                 at(0));
-    CHECK(parent.update_since(0, 0, at(10)).whole);
+    CHECK(parent.update_since(0, 0, at(10)).is_snapshot);
     learn(child, parent, at(10));
     CHECK(store_of(child, "a", at(20)) == "s1");
     parent.take(update(7, false, 1200, {kept("a", ""), kept("c", "s2")}),
                 at(200));
     const KeptUpdate next = parent.update_since(7, 5, at(210));
-    CHECK_FALSE(next.whole);
+    CHECK_FALSE(next.is_snapshot);
     CHECK(next.entries.size() == 2);
     learn(child, parent, at(210));
     CHECK(store_of(child, "a", at(220)).empty());
@@ -136,10 +136,10 @@
     for (std::uint64_t place = 1; place <= many; ++place)
         parent.take(update(place, false, 1000, {kept("a", "s1")}), at(0));
     const KeptUpdate all = parent.update_since(7, 2, at(1));
-    CHECK(all.whole);
+    CHECK(all.is_snapshot);
     CHECK(all.place == many);
     CHECK(all.entries.size() == 1);
-    CHECK_FALSE(parent.update_since(7, many - 1, at(1)).whole);
+    CHECK_FALSE(parent.update_since(7, many - 1, at(1)).is_snapshot);
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/kept/kept_room.cpp
+++ b/src/libcrosslink/kept/kept_room.cpp
@@ -229,9 +229,9 @@
 }
 
 bool
-KeptRoom::is_low(double changed_part, std::uint64_t let_go) const
+KeptRoom::is_low(double updated_fraction, std::uint64_t let_go) const
 {
-    return free_part(let_go) < reserve_part * changed_part;
+    return free_part(let_go) < reserve_part * updated_fraction;
 }
 
 double
--- a/src/libcrosslink/membership/news_log.cpp
+++ b/src/libcrosslink/membership/change_log.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/membership/news_log.h>
+#include <crosslink/membership/change_log.h>
 
 #include <algorithm>
 #include <cstddef>
@@ -20,18 +20,18 @@
 } // namespace
 
 bool
-NewsLog::take(const NewsPage& page)
+ChangeLog::apply(const ChangePage& page)
 {
-    if (page.whole) {
-        if (m_place && page.place < *m_place)
+    if (page.is_snapshot) {
+        if (m_place && page.revision < *m_place)
             return false;
         take_whole(page);
         return true;
     }
-    if (!m_place || page.since != *m_place || page.place < *m_place)
+    if (!m_place || page.since != *m_place || page.revision < *m_place)
         return false;
-    m_place = page.place;
-    for (const NewsEntry& entry : page.entries) {
+    m_place = page.revision;
+    for (const KeyChange& entry : page.entries) {
         if (entry.value)
             m_known[entry.key] = entry;
         else
@@ -46,39 +46,39 @@
 }
 
 void
-NewsLog::take_whole(const NewsPage& page)
+ChangeLog::take_whole(const ChangePage& page)
 {
-    m_place = page.place;
-    m_first = page.place;
+    m_place = page.revision;
+    m_first = page.revision;
     m_changes.clear();
     m_known.clear();
-    for (const NewsEntry& entry : page.entries)
+    for (const KeyChange& entry : page.entries)
         if (entry.value)
             m_known[entry.key] = entry;
 }
 
-NewsPage
-NewsLog::whole() const
+ChangePage
+ChangeLog::whole() const
 {
-    NewsPage page;
-    page.place = *m_place;
-    page.whole = true;
+    ChangePage page;
+    page.revision = *m_place;
+    page.is_snapshot = true;
     for (const auto& [key, entry] : m_known)
         page.entries.push_back(entry);
     return page;
 }
 
-NewsPage
-NewsLog::since(std::optional<std::uint64_t> place) const
+ChangePage
+ChangeLog::since(std::optional<std::uint64_t> place) const
 {
     if (!m_place)
         return {};
     if (!place || *place < m_first)
         return whole();
-    NewsPage page;
+    ChangePage page;
     page.since = *place;
-    page.place = std::max(*place, *m_place);
-    for (const NewsEntry& entry : m_changes)
+    page.revision = std::max(*place, *m_place);
+    for (const KeyChange& entry : m_changes)
         if (entry.revision > *place)
             page.entries.push_back(entry);
     return page;
