--- a/src/libcrosslink/membership/news_log_test.cpp
+++ b/src/libcrosslink/membership/change_log_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/membership/news_log.h>
+#include <crosslink/membership/change_log.h>
 
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
@@ -17,21 +17,21 @@
 namespace
 {
 
-NewsEntry
+KeyChange
 entry(const std::string& key, const std::string& value, std::uint64_t revision)
 {
     return {key, value, revision};
 }
 
-NewsPage
-whole(std::uint64_t place, std::vector<NewsEntry> entries)
+ChangePage
+whole(std::uint64_t place, std::vector<KeyChange> entries)
 {
     return {0, place, true, std::move(entries)};
 }
 
-NewsPage
+ChangePage
 changes(std::uint64_t since, std::uint64_t place,
-        std::vector<NewsEntry> entries)
+        std::vector<KeyChange> entries)
 {
     return {since, place, false, std::move(entries)};
 }
@@ -40,11 +40,11 @@
 using Values = std::map<std::string, std::string>;
 
 void
-follow(Values& values, const NewsPage& page)
+follow(Values& values, const ChangePage& page)
 {
-    if (page.whole)
+    if (page.is_snapshot)
         values.clear();
-    for (const NewsEntry& entry : page.entries) {
+    for (const KeyChange& entry : page.entries) {
         if (entry.value)
             values[entry.key] = *entry.value;
         else
@@ -53,7 +53,7 @@
 }
 
 Values
-values_of(const NewsLog& log)
+values_of(const ChangeLog& log)
 {
     Values values;
     follow(values, log.since(std::nullopt));
@@ -64,64 +64,64 @@
 
 TEST_CASE("a log knows nothing before its first whole page")
 {
-    NewsLog log;
-    CHECK_FALSE(log.take(changes(3, 4, {entry("a", "1", 4)})));
-    CHECK_FALSE(log.place());
-    const NewsPage page = log.since(std::nullopt);
-    CHECK_FALSE(page.whole);
+    ChangeLog log;
+    CHECK_FALSE(log.apply(changes(3, 4, {entry("a", "1", 4)})));
+    CHECK_FALSE(log.revision());
+    const ChangePage page = log.since(std::nullopt);
+    CHECK_FALSE(page.is_snapshot);
     CHECK(page.entries.empty());
 }
 
 TEST_CASE("only a page that goes on where the log stands is taken")
 {
-    NewsLog log;
-    REQUIRE(log.take(whole(10, {entry("a", "1", 7)})));
-    CHECK_FALSE(log.take(changes(8, 12, {entry("a", "0", 9)})));
-    CHECK_FALSE(log.take(changes(11, 12, {entry("a", "2", 12)})));
-    CHECK_FALSE(log.take(whole(9, {entry("a", "0", 9)})));
+    ChangeLog log;
+    REQUIRE(log.apply(whole(10, {entry("a", "1", 7)})));
+    CHECK_FALSE(log.apply(changes(8, 12, {entry("a", "0", 9)})));
+    CHECK_FALSE(log.apply(changes(11, 12, {entry("a", "2", 12)})));
+    CHECK_FALSE(log.apply(whole(9, {entry("a", "0", 9)})));
     CHECK(values_of(log) == Values{{"a", "1"}});
-    CHECK(log.take(changes(10, 12, {entry("a", "2", 12)})));
+    CHECK(log.apply(changes(10, 12, {entry("a", "2", 12)})));
     CHECK(values_of(log) == Values{{"a", "2"}});
-    CHECK(log.place() == 12);
+    CHECK(log.revision() == 12);
 }
 
 TEST_CASE("who stands in the log gets what follows, others get all there is")
 {
-    NewsLog log;
-    REQUIRE(log.take(whole(10, {entry("a", "1", 7), entry("b", "1", 8)})));
-    REQUIRE(log.take(changes(10, 12, {entry("a", "2", 11)})));
-    REQUIRE(log.take(changes(12, 13, {{"b", std::nullopt, 13}})));
-    const NewsPage next = log.since(11);
-    CHECK_FALSE(next.whole);
+    ChangeLog log;
+    REQUIRE(log.apply(whole(10, {entry("a", "1", 7), entry("b", "1", 8)})));
+    REQUIRE(log.apply(changes(10, 12, {entry("a", "2", 11)})));
+    REQUIRE(log.apply(changes(12, 13, {{"b", std::nullopt, 13}})));
+    const ChangePage next = log.since(11);
+    CHECK_FALSE(next.is_snapshot);
     CHECK(next.since == 11);
-    CHECK(next.place == 13);
+    CHECK(next.revision == 13);
     REQUIRE(next.entries.size() == 1);
     CHECK(next.entries[0].key == "b");
     CHECK_FALSE(next.entries[0].value);
-    CHECK(log.since(9).whole);
+    CHECK(log.since(9).is_snapshot);
     CHECK(log.since(9).entries.size() == 1);
 }
 
 TEST_CASE("who knows more than the log is told nothing and stays")
 {
-    NewsLog log;
-    REQUIRE(log.take(whole(10, {entry("a", "1", 7)})));
-    const NewsPage page = log.since(20);
-    CHECK_FALSE(page.whole);
+    ChangeLog log;
+    REQUIRE(log.apply(whole(10, {entry("a", "1", 7)})));
+    const ChangePage page = log.since(20);
+    CHECK_FALSE(page.is_snapshot);
     CHECK(page.entries.empty());
-    CHECK(page.place == 20);
+    CHECK(page.revision == 20);
 }
 
 TEST_CASE("a log that forgot changes tells all there is")
 {
-    NewsLog log;
-    REQUIRE(log.take(whole(1, {})));
+    ChangeLog log;
+    REQUIRE(log.apply(whole(1, {})));
     constexpr std::uint64_t many = 10'000;
     for (std::uint64_t at = 2; at <= many; ++at)
-        REQUIRE(log.take(changes(at - 1, at, {entry("a", "x", at)})));
-    CHECK(log.since(2).whole);
-    const NewsPage near = log.since(many - 3);
-    CHECK_FALSE(near.whole);
+        REQUIRE(log.apply(changes(at - 1, at, {entry("a", "x", at)})));
+    CHECK(log.since(2).is_snapshot);
+    const ChangePage near = log.since(many - 3);
+    CHECK_FALSE(near.is_snapshot);
     CHECK(near.entries.size() == 3);
 }
 
@@ -129,10 +129,10 @@
 {
     CHECK(rc::check([] {
         // The platform, and three instances that ask it or each other.
-        NewsLog platform;
-        platform.take(whole(1, {}));
+        ChangeLog platform;
+        platform.apply(whole(1, {}));
         Values truth;
-        std::vector<NewsLog> logs(3);
+        std::vector<ChangeLog> logs(3);
         std::vector<std::uint64_t> seen(3, 0);
         std::uint64_t revision = 1;
         const int steps = *rc::gen::inRange(1, 60);
@@ -140,12 +140,13 @@
             const bool writes = *rc::gen::arbitrary<bool>();
             if (writes) {
                 const std::string key = std::to_string(*rc::gen::inRange(0, 4));
-                NewsEntry change{key, std::nullopt, revision + 1};
+                KeyChange change{key, std::nullopt, revision + 1};
                 if (*rc::gen::arbitrary<bool>())
                     change.value = std::to_string(step);
-                const NewsPage page = changes(revision, revision + 1, {change});
+                const ChangePage page =
+                    changes(revision, revision + 1, {change});
                 ++revision;
-                RC_ASSERT(platform.take(page));
+                RC_ASSERT(platform.apply(page));
                 follow(truth, page);
                 continue;
             }
@@ -153,15 +154,15 @@
                 static_cast<std::size_t>(*rc::gen::inRange(0, 3));
             const auto teacher =
                 static_cast<std::size_t>(*rc::gen::inRange(0, 4));
-            const NewsLog& from = teacher == 3 ? platform : logs[teacher];
-            NewsLog& log = logs[learner];
-            log.take(from.since(log.place()));
-            const std::uint64_t place = log.place().value_or(0);
+            const ChangeLog& from = teacher == 3 ? platform : logs[teacher];
+            ChangeLog& log = logs[learner];
+            log.apply(from.since(log.revision()));
+            const std::uint64_t place = log.revision().value_or(0);
             RC_ASSERT(place >= seen[learner]);
             seen[learner] = place;
         }
-        for (NewsLog& log : logs) {
-            log.take(platform.since(log.place()));
+        for (ChangeLog& log : logs) {
+            log.apply(platform.since(log.revision()));
             RC_ASSERT(values_of(log) == truth);
         }
     }));
--- a/src/libcrosslink/membership/duty_lease.cpp
+++ b/src/libcrosslink/membership/duty_lease.cpp
@@ -17,16 +17,16 @@
 } // namespace
 
 Micros
-DutyLease::unused(Micros span)
+DutyLease::safety_margin(Micros span)
 {
     const auto count = static_cast<double>(span.count());
     return Micros(static_cast<Micros::rep>(count * (1 - used_part)));
 }
 
 Micros
-DutyLease::settle_time(Micros spacing, Micros span)
+DutyLease::takeover_delay(Micros spacing, Micros span)
 {
-    return spacing - unused(span) + act_on_its_way;
+    return spacing - safety_margin(span) + act_on_its_way;
 }
 
 void
--- a/src/libcrosslink/membership/duty_lease_test.cpp
+++ b/src/libcrosslink/membership/duty_lease_test.cpp
@@ -61,7 +61,7 @@
     "acts of two holders are apart, whether the lease lapsed or was given")
 {
     constexpr Micros spacing = std::chrono::seconds(3);
-    const Micros settle = DutyLease::settle_time(spacing, span);
+    const Micros settle = DutyLease::takeover_delay(spacing, span);
     DutyLease earlier(settle);
     earlier.granted(7, at(0), span);
     DutyLease later(settle);
@@ -77,7 +77,7 @@
     {
         last_act = at(500);
         earlier.lost();
-        taken = last_act + DutyLease::unused(span);
+        taken = last_act + DutyLease::safety_margin(span);
     }
     later.granted(9, taken, span);
     TimePoint now = taken;
--- a/src/libcrosslink/membership/holder_history.cpp
+++ b/src/libcrosslink/membership/holder_history.cpp
@@ -9,7 +9,7 @@
 {
 
 void
-HolderHistory::named(std::string_view address, TimePoint now)
+HolderHistory::set_holder(std::string_view address, TimePoint now)
 {
     if (address == m_holder)
         return;
@@ -19,7 +19,7 @@
 }
 
 void
-HolderHistory::missed(TimePoint now)
+HolderHistory::record_gap(TimePoint now)
 {
     m_from = now;
 }
@@ -46,7 +46,7 @@
 }
 
 bool
-HolderHistory::covers(Micros grace, TimePoint now) const
+HolderHistory::is_complete(Micros grace, TimePoint now) const
 {
     return now >= m_from + grace;
 }
--- a/src/libcrosslink/membership/holder_history_test.cpp
+++ b/src/libcrosslink/membership/holder_history_test.cpp
@@ -26,11 +26,11 @@
 TEST_CASE("earlier holders are told until their grace is over")
 {
     HolderHistory history;
-    history.missed(at(0));
-    history.named("a", at(0));
+    history.record_gap(at(0));
+    history.set_holder("a", at(0));
     CHECK(history.recent(grace, at(100)).empty());
-    history.named("", at(1000));
-    history.named("b", at(1500));
+    history.set_holder("", at(1000));
+    history.set_holder("b", at(1500));
     CHECK(history.holder() == "b");
     CHECK(history.recent(grace, at(8999)) == Addresses{"a"});
     CHECK(history.recent(grace, at(9000)).empty());
@@ -39,30 +39,30 @@
 TEST_CASE("an address that holds the duty again is no earlier holder")
 {
     HolderHistory history;
-    history.named("a", at(0));
-    history.named("b", at(100));
-    history.named("a", at(200));
+    history.set_holder("a", at(0));
+    history.set_holder("b", at(100));
+    history.set_holder("a", at(200));
     CHECK(history.recent(grace, at(300)) == Addresses{"b"});
 }
 
 TEST_CASE("holders before a gap may be missed until their grace is over")
 {
     HolderHistory history;
-    history.missed(at(500));
-    CHECK_FALSE(history.covers(grace, at(8499)));
-    CHECK(history.covers(grace, at(8500)));
+    history.record_gap(at(500));
+    CHECK_FALSE(history.is_complete(grace, at(8499)));
+    CHECK(history.is_complete(grace, at(8500)));
 }
 
 TEST_CASE("what another instance saw shortens the wait for earlier holders")
 {
     HolderHistory history;
-    history.missed(at(9000));
-    history.named("b", at(9000));
+    history.record_gap(at(9000));
+    history.set_holder("b", at(9000));
     const std::vector<HolderHistory::Ended> ended{{"a", at(7000)}};
     history.learn(at(500), ended);
     CHECK(history.holder() == "b");
     CHECK(history.from() == at(500));
-    CHECK(history.covers(grace, at(9000)));
+    CHECK(history.is_complete(grace, at(9000)));
     CHECK(history.recent(grace, at(9000)) == Addresses{"a"});
     CHECK(history.recent(grace, at(15'000)).empty());
 }
@@ -70,9 +70,9 @@
 TEST_CASE("what an instance saw that missed more says nothing")
 {
     HolderHistory history;
-    history.missed(at(1000));
-    history.named("a", at(1000));
-    history.named("b", at(2000));
+    history.record_gap(at(1000));
+    history.set_holder("a", at(1000));
+    history.set_holder("b", at(2000));
     history.learn(at(1500), {});
     CHECK(history.from() == at(1000));
     CHECK(history.recent(grace, at(3000)) == Addresses{"a"});
--- a/src/libcrosslink/membership/lease_renewal_test.cpp
+++ b/src/libcrosslink/membership/lease_renewal_test.cpp
@@ -16,12 +16,12 @@
     DutyLease lease(Micros{0});
     TimePoint now{};
     lease.granted(1, now, span);
-    now += renewal.pause() + renewal.longest_try();
+    now += renewal.pause() + renewal.attempt_timeout();
     CHECK(lease.held(now));
     // The next one takes as long, and is answered just in time.
-    now += renewal.pause_after_failure();
+    now += renewal.retry_delay();
     const TimePoint asked = now;
-    now += renewal.longest_try();
+    now += renewal.attempt_timeout();
     lease.granted(1, asked, span);
     CHECK(lease.held(now));
     CHECK(now - TimePoint{} <=
--- a/src/libcrosslink/membership/platform_reach.cpp
+++ b/src/libcrosslink/membership/platform_availability.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/membership/platform_reach.h>
+#include <crosslink/membership/platform_availability.h>
 
 #include <algorithm>
 
@@ -29,14 +29,14 @@
 } // namespace
 
 void
-PlatformReach::lost(TimePoint now)
+PlatformAvailability::lost(TimePoint now)
 {
     if (!m_lost_at)
         m_lost_at = now;
 }
 
 void
-PlatformReach::regained(TimePoint now)
+PlatformAvailability::regained(TimePoint now)
 {
     if (m_lost_at && now - *m_lost_at >= least_away) {
         m_away.push_back({*m_lost_at, now + m_settle});
@@ -47,14 +47,14 @@
 }
 
 void
-PlatformReach::reached_by_another(TimePoint now)
+PlatformAvailability::reached_by_another(TimePoint now)
 {
     if (m_lost_at)
         m_lost_at = now;
 }
 
 Micros
-PlatformReach::counted(TimePoint from, TimePoint now) const
+PlatformAvailability::available_time(TimePoint from, TimePoint now) const
 {
     Micros away{0};
     // Where it went away again while orders had not begun, spans overlap.
--- a/src/libcrosslink/relay/relay.cpp
+++ b/src/libcrosslink/relay/relay.cpp
@@ -16,31 +16,31 @@
 void
 Relay::begin_attempt(std::string_view run_id)
 {
-    require(Invariant::AnswerMatchesRequest, !m_finished);
+    check_invariant(Invariant::AnswerMatchesRequest, !m_finished);
     m_run_id = run_id;
     m_continued_from = m_next_index;
 }
 
-RelayStep
+RelayAction
 Relay::take(const EngineFrame& frame)
 {
     if (m_finished || frame.run_id != m_run_id)
-        return RelayStep::Drop;
+        return RelayAction::Drop;
     if (frame.index < m_next_index)
-        return RelayStep::Drop;
+        return RelayAction::Drop;
     if (frame.index > m_next_index)
-        return RelayStep::Gap;
+        return RelayAction::Gap;
     if (frame.version != m_version)
-        return RelayStep::WrongWeights;
+        return RelayAction::WrongWeights;
     ++m_next_index;
     m_text += frame.text;
     if (!frame.last)
-        return RelayStep::Forward;
+        return RelayAction::Forward;
     m_finished = true;
     m_prompt_tokens =
         frame.prompt_tokens - std::min(frame.prompt_tokens, m_continued_from);
     m_cached_tokens = std::min(frame.cached_tokens, m_prompt_tokens);
-    return RelayStep::Finish;
+    return RelayAction::Finish;
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/relay/relay_test.cpp
+++ b/src/libcrosslink/relay/relay_test.cpp
@@ -40,10 +40,10 @@
 {
     Relay relay("v1");
     relay.begin_attempt("r-1");
-    CHECK(relay.take(frame("r-1", 0, 3)) == RelayStep::Forward);
+    CHECK(relay.take(frame("r-1", 0, 3)) == RelayAction::Forward);
     relay.begin_attempt("r-2");
-    CHECK(relay.take(frame("r-1", 1, 3)) == RelayStep::Drop);
-    CHECK(relay.take(frame("r-2", 1, 3)) == RelayStep::Forward);
+    CHECK(relay.take(frame("r-1", 1, 3)) == RelayAction::Drop);
+    CHECK(relay.take(frame("r-2", 1, 3)) == RelayAction::Forward);
     CHECK(relay.text() == "<0><1>");
 }
 
@@ -57,7 +57,7 @@
     EngineFrame last = frame("r-2", 2, 3);
     last.prompt_tokens = 102;
     last.cached_tokens = 102;
-    CHECK(relay.take(last) == RelayStep::Finish);
+    CHECK(relay.take(last) == RelayAction::Finish);
     CHECK(relay.prompt_tokens() == 100);
     CHECK(relay.cached_tokens() == 100);
 }
@@ -66,7 +66,7 @@
 {
     Relay relay("v2");
     relay.begin_attempt("r");
-    CHECK(relay.take(frame("r", 0, 2)) == RelayStep::WrongWeights);
+    CHECK(relay.take(frame("r", 0, 2)) == RelayAction::WrongWeights);
     CHECK(relay.text().empty());
 }
 
@@ -74,7 +74,7 @@
 {
     Relay relay("v1");
     relay.begin_attempt("r");
-    CHECK(relay.take(frame("r", 1, 3)) == RelayStep::Gap);
+    CHECK(relay.take(frame("r", 1, 3)) == RelayAction::Gap);
     CHECK(relay.next_index() == 0);
 }
 
@@ -82,8 +82,8 @@
 {
     Relay relay("v1");
     relay.begin_attempt("r");
-    CHECK(relay.take(frame("r", 0, 1)) == RelayStep::Finish);
-    CHECK(relay.take(frame("r", 0, 1)) == RelayStep::Drop);
+    CHECK(relay.take(frame("r", 0, 1)) == RelayAction::Finish);
+    CHECK(relay.take(frame("r", 0, 1)) == RelayAction::Drop);
     CHECK_THROWS_AS(relay.begin_attempt("r-2"), Error);
 }
 
--- a/src/libcrosslink/report/burn_page.cpp
+++ b/src/libcrosslink/report/burn_page.cpp
@@ -37,11 +37,11 @@
 burn(const Json::Value& row, const char* window, const Objective& objective)
 {
     const Json::Value& counts = row[window];
-    const double requests = json_real(counts, "requests");
+    const double requests = json_double(counts, "requests");
     if (requests <= 0)
         return 0;
-    const double allowed = 1 - json_real(row, objective.target);
-    const double missed = json_real(counts, objective.misses) / requests;
+    const double allowed = 1 - json_double(row, objective.target);
+    const double missed = json_double(counts, objective.misses) / requests;
     constexpr double least_allowed = 1e-6;
     return missed / std::max(allowed, least_allowed);
 }
@@ -58,8 +58,9 @@
 double
 recomputed_share(const Json::Value& row)
 {
-    const double prompt = json_real(row["slow"], "prompt_tokens");
-    return prompt > 0 ? json_real(row["slow"], "computed_tokens") / prompt : 0;
+    const double prompt = json_double(row["slow"], "prompt_tokens");
+    return prompt > 0 ? json_double(row["slow"], "computed_tokens") / prompt
+                      : 0;
 }
 
 std::string
@@ -125,8 +126,8 @@
             for (const char* window : windows)
                 for (const char* count : count_names)
                     at->second[window][count] =
-                        Json::UInt64(json_number(at->second[window], count) +
-                                     json_number(row[window], count));
+                        Json::UInt64(json_uint64(at->second[window], count) +
+                                     json_uint64(row[window], count));
         }
     }
     std::vector<Json::Value> ordered;
@@ -151,12 +152,12 @@
         for (const Json::Value& link : list) {
             Json::Value& sum = merged[json_string(link, "store")];
             sum["store"] = link["store"];
-            sum["fetched"] = Json::UInt64(json_number(sum, "fetched") +
-                                          json_number(link, "fetched"));
+            sum["fetched"] = Json::UInt64(json_uint64(sum, "fetched") +
+                                          json_uint64(link, "fetched"));
             // Instances learn different speeds; the fastest met least others.
             sum["bytes_per_second"] =
-                std::max(json_real(sum, "bytes_per_second"),
-                         json_real(link, "bytes_per_second"));
+                std::max(json_double(sum, "bytes_per_second"),
+                         json_double(link, "bytes_per_second"));
         }
     }
     Json::Value result(Json::arrayValue);
@@ -173,8 +174,8 @@
         char line[96];
         std::snprintf(line, sizeof line, "%-24s %12.1f %6.0f\n",
                       json_string(link, "store").c_str(),
-                      json_real(link, "fetched") / megabyte,
-                      json_real(link, "bytes_per_second") / megabyte);
+                      json_double(link, "fetched") / megabyte,
+                      json_double(link, "bytes_per_second") / megabyte);
         text += line;
     }
     return text;
@@ -235,8 +236,8 @@
             "MB/s</tr>";
     for (const Json::Value& link : links)
         page += "<tr><td>" + escaped(json_string(link, "store")) + "<td>" +
-                number(json_real(link, "fetched") / megabyte) + "<td>" +
-                number(json_real(link, "bytes_per_second") / megabyte) +
+                number(json_double(link, "fetched") / megabyte) + "<td>" +
+                number(json_double(link, "bytes_per_second") / megabyte) +
                 "</tr>";
     return page + "</table>\n";
 }
--- a/src/libcrosslink/route/engine_table.cpp
+++ b/src/libcrosslink/route/engine_table.cpp
@@ -98,8 +98,8 @@
 }
 
 void
-EngineTable::reported(std::string_view address, const EngineLoad& load,
-                      TimePoint now)
+EngineTable::update_load(std::string_view address, const EngineLoad& load,
+                         TimePoint now)
 {
     EngineEntry* entry = find(address);
     if (!entry)
@@ -140,7 +140,8 @@
                   std::uint64_t tokens, TimePoint now)
 {
     if (EngineEntry* entry = find(address)) {
-        require(Invariant::LeavingGetsNoWork, now >= entry->leaving_until);
+        check_invariant(Invariant::LeavingGetsNoWork,
+                        now >= entry->leaving_until);
         entry->own_tokens.emplace(std::string(run_id), tokens);
         ++entry->own_running;
     }
--- a/src/libcrosslink/route/link_table.cpp
+++ b/src/libcrosslink/route/link_table.cpp
@@ -32,7 +32,7 @@
 void
 LinkTable::begin(std::string_view store, std::uint64_t bytes)
 {
-    link(store).under_way += bytes;
+    link(store).bytes_in_flight += bytes;
 }
 
 void
@@ -40,8 +40,8 @@
                bool whole)
 {
     Link& entry = link(store);
-    const std::uint64_t shared = std::max(entry.under_way, bytes);
-    entry.under_way -= std::min(entry.under_way, bytes);
+    const std::uint64_t shared = std::max(entry.bytes_in_flight, bytes);
+    entry.bytes_in_flight -= std::min(entry.bytes_in_flight, bytes);
     if (!whole || took.count() <= 0)
         return;
     entry.fetched += bytes;
@@ -61,7 +61,7 @@
     if (found == m_links.end())
         return from_seconds(static_cast<double>(bytes) / first_guess);
     const Link& entry = found->second;
-    const auto ahead = static_cast<double>(entry.under_way + bytes);
+    const auto ahead = static_cast<double>(entry.bytes_in_flight + bytes);
     return from_seconds(ahead / entry.bytes_per_second);
 }
 
@@ -86,7 +86,7 @@
     std::vector<LinkState> result;
     for (const auto& [store, link] : m_links)
         result.push_back(
-            {store, link.bytes_per_second, link.under_way, link.fetched});
+            {store, link.bytes_per_second, link.bytes_in_flight, link.fetched});
     return result;
 }
 
--- a/src/libcrosslink/route/router.cpp
+++ b/src/libcrosslink/route/router.cpp
@@ -149,7 +149,7 @@
     choice.engine = engine.address;
     if (m_terms.cache)
         choice.cached_blocks = engine.cache.prefix(request.keys);
-    choice.fetch_to = choice.cached_blocks;
+    choice.fetch_end = choice.cached_blocks;
     choice.compute_tokens = tokens_left(request, choice.cached_blocks);
     Micros work = compute_time(engine, choice.compute_tokens);
     if (m_terms.fetch && request.kept.size() > choice.cached_blocks) {
@@ -160,7 +160,7 @@
             fetch_overhead + compute_time(engine, rest);
         if (fetched < work) {
             work = fetched;
-            choice.fetch_to = request.kept.size();
+            choice.fetch_end = request.kept.size();
             choice.compute_tokens = rest;
         }
     }
--- a/src/libcrosslink/route/router_test.cpp
+++ b/src/libcrosslink/route/router_test.cpp
@@ -35,8 +35,8 @@
         const std::vector<ListedEngine> listed{{"one", "z", false},
                                                {"two", "z", false}};
         engines.sync(listed, now);
-        engines.reported("one", load(), now);
-        engines.reported("two", load(), now);
+        engines.update_load("one", load(), now);
+        engines.update_load("two", load(), now);
         for (std::size_t i = 0; i < blocks; ++i) {
             keys.push_back(sha256(std::to_string(i)));
             kept.push_back({keys.back(), {}, {}, 1'000'000});
@@ -80,20 +80,20 @@
 {
     Scene scene;
     scene.engines.find("two")->cache.expect(scene.keys);
-    scene.engines.reported("two", load(100'000), now);
+    scene.engines.update_load("two", load(100'000), now);
     CHECK(scene.choose()->engine == "one");
 }
 
 TEST_CASE("kept blocks are fetched where the link is faster than computing")
 {
     Scene scene;
-    CHECK(scene.choose(true)->fetch_to == blocks);
+    CHECK(scene.choose(true)->fetch_end == blocks);
     // A link that turned out slow makes recomputing the better choice.
     for (int i = 0; i < 30; ++i) {
         scene.links.begin("s", 1'000'000);
         scene.links.end("s", 1'000'000, std::chrono::seconds(1), true);
     }
-    CHECK(scene.choose(true)->fetch_to == 0);
+    CHECK(scene.choose(true)->fetch_end == 0);
 }
 
 TEST_CASE("no work goes to an engine that leaves or lacks the weights")
@@ -103,7 +103,7 @@
     CHECK(scene.choose()->engine == "two");
     EngineLoad swapped = load();
     swapped.resident.front().version = "v2";
-    scene.engines.reported("two", swapped, now);
+    scene.engines.update_load("two", swapped, now);
     CHECK_FALSE(scene.choose());
     CHECK_THROWS_AS(scene.engines.sent("one", "r", 1, now), Error);
 }
--- a/src/libcrosslink/testing/played_crashes.h
+++ b/src/libcrosslink/testing/played_crashes.h
@@ -107,7 +107,7 @@
     struct Run {
         std::size_t instance = 0;
         std::size_t life = 0; ///< Of that instance.
-        bool again = false;   ///< See BrokenCall.
+        bool again = false;   ///< See InterruptedCall.
     };
     struct Event {
         TimePoint at{};
@@ -209,7 +209,7 @@
             std::uniform_real_distribution<>()(m_random) < m_play.lost;
         if (!parent || is_lost)
             return;
-        const CrashNews question = child.history.news(m_now);
+        const CrashUpdate question = child.history.news(m_now);
         const TimePoint asked = m_now;
         const std::size_t child_life = child.life;
         const std::size_t parent_life = m_fleet[*parent].life;
@@ -218,7 +218,7 @@
             if (asked_one.life != parent_life)
                 return;
             asked_one.history.take(question, m_now, m_now);
-            const CrashNews answer = asked_one.history.news(m_now);
+            const CrashUpdate answer = asked_one.history.news(m_now);
             in(between(1, 60), [=, this] {
                 Instance& asker = m_fleet[number];
                 if (asker.life == child_life)
--- a/src/libcrosslink/testing/played_limits.h
+++ b/src/libcrosslink/testing/played_limits.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include <crosslink/base/time.h>
-#include <crosslink/forward/account_turns.h>
+#include <crosslink/forward/fair_share_tracker.h>
 #include <crosslink/forward/runner_table.h>
 #include <crosslink/membership/fleet_tree.h>
 #include <crosslink/membership/instance_info.h>
@@ -129,13 +129,13 @@
 
     struct Runner {
         std::vector<TimePoint> arrived; ///< Of instances in touch.
-        std::uint64_t born = 1;
+        std::uint64_t start_ms = 1;
         bool has_limit = true; ///< Until it starts anew.
     };
     struct Instance {
         InstanceInfo info;
         RunnerTable table;
-        AccountTurns turns;
+        FairShareTracker turns;
         TimePoint started_at{};
         TimePoint cut_until{};
         std::size_t life = 0; ///< Words for an earlier one are lost.
@@ -217,7 +217,7 @@
                          "10.0.0.1:" + std::to_string(number), zone_of(number),
                          200};
         instance.table = RunnerTable();
-        instance.turns = AccountTurns();
+        instance.turns = FairShareTracker();
         instance.started_at = at;
         ++instance.life;
         for (std::size_t i = 0; i < m_fleet.size(); ++i)
@@ -233,7 +233,7 @@
     {
         ListedRunner runner;
         runner.id = runner_name(number);
-        runner.born = m_runners[number].born;
+        runner.start_ms = m_runners[number].start_ms;
         runner.service = "s";
         runner.address = "127.0.0.1:1";
         runner.zone = zone_of(number);
@@ -272,7 +272,7 @@
         const auto parent = parent_of(number);
         if (!parent || chance(m_play.lost))
             return;
-        const auto question = m_fleet[number].table.limit_news(m_now);
+        const auto question = m_fleet[number].table.limit_updates(m_now);
         const std::size_t child_life = m_fleet[number].life;
         const std::size_t parent_life = m_fleet[*parent].life;
         in(way(), [=, this] {
@@ -280,7 +280,7 @@
             if (asked_one.life != parent_life)
                 return;
             take(asked_one, question);
-            const auto answer = asked_one.table.limit_news(m_now);
+            const auto answer = asked_one.table.limit_updates(m_now);
             in(way(), [=, this] {
                 if (m_fleet[number].life == child_life)
                     take(m_fleet[number], answer);
@@ -288,9 +288,9 @@
         });
     }
 
-    void take(Instance& instance, const std::vector<LimitNews>& news)
+    void take(Instance& instance, const std::vector<LimitUpdate>& news)
     {
-        for (const LimitNews& item : news)
+        for (const LimitUpdate& item : news)
             instance.table.limit_told(item, m_now);
     }
 
@@ -380,7 +380,7 @@
         });
         in(between(30, 800), [=, this] {
             const Runner& state = m_runners[runner];
-            if (state.born != pick.born)
+            if (state.start_ms != pick.start_ms)
                 return;
             const double named = runner < m_play.limited && state.has_limit
                                      ? limit_at(m_now)
@@ -458,7 +458,7 @@
     void start_runners_anew()
     {
         for (std::size_t i = 0; i < m_play.limited; ++i) {
-            ++m_runners[i].born;
+            ++m_runners[i].start_ms;
             m_runners[i].has_limit = false;
             m_runners[i].arrived.clear();
             for (std::size_t n = 0; n < m_fleet.size(); ++n)
--- a/src/libcrosslink/testing/played_load.h
+++ b/src/libcrosslink/testing/played_load.h
@@ -5,7 +5,7 @@
 
 #include "model_engine.h"
 
-#include <crosslink/forward/load_board.h>
+#include <crosslink/forward/load_aggregator.h>
 #include <crosslink/forward/queue_limit.h>
 #include <crosslink/forward/runner_table.h>
 
--- a/src/libcrosslink/weights/rollout_record.cpp
+++ b/src/libcrosslink/weights/rollout_record.cpp
@@ -24,7 +24,8 @@
 }
 
 void
-RolloutRecord::tell(WeightsHistory& history, Micros limit, TimePoint now) const
+RolloutRecord::apply_to(WeightsHistory& history, Micros limit,
+                        TimePoint now) const
 {
     for (const std::uint64_t version : m_recorded) {
         history.found(version, now);
--- a/src/libcrosslink/weights/rollout_record_test.cpp
+++ b/src/libcrosslink/weights/rollout_record_test.cpp
@@ -32,17 +32,17 @@
     return record;
 }
 
-PlatformReach
+PlatformAvailability
 always_reached()
 {
-    return PlatformReach(Micros{0});
+    return PlatformAvailability(Micros{0});
 }
 
 std::uint64_t
 least(const WeightsHistory& history, int now,
-      const PlatformReach& reach = always_reached())
+      const PlatformAvailability& reach = always_reached())
 {
-    return history.least(bound, at(now), reach);
+    return history.minimum_version(bound, at(now), reach);
 }
 
 } // namespace
@@ -51,20 +51,20 @@
 {
     WeightsHistory history;
     history.found(3, at(20000));
-    record_of({1, 2, 3}, {3}).tell(history, limit, at(20000));
+    record_of({1, 2, 3}, {3}).apply_to(history, limit, at(20000));
     CHECK(least(history, 20000) == 2);
-    record_of({1, 2, 3}, {}).tell(history, limit, at(20000));
+    record_of({1, 2, 3}, {}).apply_to(history, limit, at(20000));
     CHECK(least(history, 20000) == 3);
 }
 
 TEST_CASE("a bound that is over stays so while the platform is away")
 {
-    PlatformReach reach(std::chrono::seconds(3));
+    PlatformAvailability reach(std::chrono::seconds(3));
     reach.lost(at(11000));
     reach.regained(at(20000));
     WeightsHistory history;
     history.found(2, at(20000));
-    record_of({1, 2}, {}).tell(history, limit, at(20000));
+    record_of({1, 2}, {}).apply_to(history, limit, at(20000));
     CHECK(least(history, 20001, reach) == 2);
 }
 
@@ -73,7 +73,7 @@
     WeightsHistory history;
     history.found(2, at(5000));
     RolloutRecord record = record_of({1, 2}, {2});
-    record.tell(history, limit, at(5000));
+    record.apply_to(history, limit, at(5000));
     CHECK(least(history, 14999) == 1);
     CHECK(history.left(2, limit, at(6000), always_reached()) ==
           std::chrono::seconds(7));
@@ -85,14 +85,14 @@
     WeightsHistory history;
     history.found(2, at(5000));
     RolloutRecord record = record_of({1, 2}, {2});
-    record.tell(history, limit, at(5000));
+    record.apply_to(history, limit, at(5000));
     record.marked(2, false);
-    record.tell(history, limit, at(9000));
+    record.apply_to(history, limit, at(9000));
     CHECK(least(history, 9000) == 2);
     CHECK(history.replaced_at(1) == at(1000));
     CHECK(history.left(2, limit, at(9000), always_reached()) == Micros{0});
     // What the record tells again later says nothing new.
-    record.tell(history, limit, at(9500));
+    record.apply_to(history, limit, at(9500));
     CHECK(history.replaced_at(1) == at(1000));
 }
 
@@ -101,7 +101,7 @@
     WeightsHistory history;
     history.found(2, at(5000));
     history.named_earlier(2, at(1000));
-    record_of({1, 2}, {2}).tell(history, limit, at(6000));
+    record_of({1, 2}, {2}).apply_to(history, limit, at(6000));
     CHECK(least(history, 11000) == 2);
 }
 
@@ -109,7 +109,7 @@
 {
     WeightsHistory history;
     history.named(2, at(1000));
-    record_of({2}, {}).tell(history, limit, at(5000));
+    record_of({2}, {}).apply_to(history, limit, at(5000));
     CHECK(least(history, 10999) == 0);
     CHECK(history.replaced_at(1) == at(1000));
 }
--- a/src/libcrosslink/weights/weights_history.cpp
+++ b/src/libcrosslink/weights/weights_history.cpp
@@ -76,23 +76,24 @@
 }
 
 std::uint64_t
-WeightsHistory::least(Micros bound, TimePoint now,
-                      const PlatformReach& reach) const
+WeightsHistory::minimum_version(Micros bound, TimePoint now,
+                                const PlatformAvailability& reach) const
 {
     std::uint64_t version = 0;
     for (const NamedWeights& named : m_named)
-        if (named.is_lapsed || reach.counted(named.at, now) >= bound)
+        if (named.is_lapsed || reach.available_time(named.at, now) >= bound)
             version = named.version;
     return version;
 }
 
 Micros
 WeightsHistory::left(std::uint64_t version, Micros bound, TimePoint now,
-                     const PlatformReach& reach) const
+                     const PlatformAvailability& reach) const
 {
     for (const NamedWeights& named : m_named)
         if (named.version == version && !named.is_lapsed)
-            return std::max(bound - reach.counted(named.at, now), Micros{0});
+            return std::max(bound - reach.available_time(named.at, now),
+                            Micros{0});
     return Micros{0};
 }
 
--- a/src/libcrosslink/weights/weights_history_test.cpp
+++ b/src/libcrosslink/weights/weights_history_test.cpp
@@ -36,9 +36,9 @@
     CHECK(late.newest() == 3);
     CHECK(history.replaced_at(1) == TimePoint(std::chrono::seconds(4)));
     CHECK(history.newest() == 2);
-    CHECK(history.least(std::chrono::seconds(10),
-                        TimePoint(std::chrono::seconds(14)),
-                        PlatformReach(Micros(0))) == 2);
+    CHECK(history.minimum_version(std::chrono::seconds(10),
+                                  TimePoint(std::chrono::seconds(14)),
+                                  PlatformAvailability(Micros(0))) == 2);
 }
 
 TEST_CASE("a version must have given way when its bound has passed")
@@ -48,17 +48,17 @@
     weights.named(2, at(1000));
     weights.named(1, at(2000));
     weights.named(5, at(4000));
-    PlatformReach reach(Micros(0));
+    PlatformAvailability reach(Micros(0));
     CHECK(weights.newest() == 5);
-    CHECK(weights.least(bound, at(10'999), reach) == 0);
-    CHECK(weights.least(bound, at(11'000), reach) == 2);
-    CHECK(weights.least(bound, at(14'000), reach) == 5);
+    CHECK(weights.minimum_version(bound, at(10'999), reach) == 0);
+    CHECK(weights.minimum_version(bound, at(11'000), reach) == 2);
+    CHECK(weights.minimum_version(bound, at(14'000), reach) == 5);
     // What had to give way before the platform went away does not come back.
     reach.lost(at(12'000));
-    CHECK(weights.least(bound, at(14'000), reach) == 2);
+    CHECK(weights.minimum_version(bound, at(14'000), reach) == 2);
     reach.regained(at(14'000));
-    CHECK(weights.least(bound, at(15'900), reach) == 2);
-    CHECK(weights.least(bound, at(16'000), reach) == 5);
+    CHECK(weights.minimum_version(bound, at(15'900), reach) == 2);
+    CHECK(weights.minimum_version(bound, at(16'000), reach) == 5);
     CHECK(weights.replaced_at(1) == at(1000));
     CHECK(weights.replaced_at(2) == at(4000));
     CHECK_FALSE(weights.replaced_at(5));
--- a/src/libcrosslink/weights/weights_plan.cpp
+++ b/src/libcrosslink/weights/weights_plan.cpp
@@ -138,7 +138,7 @@
     std::erase_if(m_open, [&runners](const auto& item) {
         const auto found = runners.entries().find(item.first);
         return found == runners.entries().end() ||
-               found->second.listed.born != item.second.order.born;
+               found->second.listed.start_ms != item.second.order.start_ms;
     });
     std::erase_if(m_again, [&runners](const auto& item) {
         return !runners.entries().contains(item.first.runner);
@@ -218,7 +218,7 @@
         for (const RunnerEntry* entry : behind(model, runners, now)) {
             if (taken++ >= most)
                 break;
-            WeightsOrder order{entry->listed.id, entry->listed.born,
+            WeightsOrder order{entry->listed.id, entry->listed.start_ms,
                                entry->listed.address, model, history.newest()};
             m_open[order.runner] = {order, now, now};
             orders.push_back(std::move(order));
@@ -228,7 +228,7 @@
 }
 
 void
-WeightsPlan::not_given(const WeightsOrder& order, TimePoint now)
+WeightsPlan::not_sent(const WeightsOrder& order, TimePoint now)
 {
     const auto open = find_open(order);
     if (open == m_open.end())
@@ -253,7 +253,7 @@
         break;
     case OrderOutcome::Unknown:
         break;
-    case OrderOutcome::InForce:
+    case OrderOutcome::AlreadyLoaded:
         m_loaded.push_back({order, now});
         m_open.erase(open);
         m_again.erase({order.runner, order.model});
@@ -316,7 +316,7 @@
 }
 
 void
-WeightsPlan::unanswered(const WeightsOrder& order)
+WeightsPlan::report_failed(const WeightsOrder& order)
 {
     const auto open = find_open(order);
     if (open != m_open.end())
@@ -324,7 +324,7 @@
 }
 
 double
-WeightsPlan::changed_part(const RunnerTable& runners) const
+WeightsPlan::updated_fraction(const RunnerTable& runners) const
 {
     std::size_t all = 0;
     std::size_t changed = 0;
--- a/src/libcrosslink/weights/weights_plan_test.cpp
+++ b/src/libcrosslink/weights/weights_plan_test.cpp
@@ -85,11 +85,11 @@
     plan.ordered(orders[0], OrderOutcome::Accepted, at(10));
     CHECK(plan.due(table, at(100)).empty());
     ListedRunner anew = runner(0, 1);
-    anew.born = 5;
+    anew.start_ms = 5;
     table.put(anew, at(200));
     const auto again = plan.due(table, at(200));
     REQUIRE(again.size() == 1);
-    CHECK(again[0].born == 5);
+    CHECK(again[0].start_ms == 5);
 }
 
 TEST_CASE("a runner that says that it leaves is ordered nothing")
@@ -97,7 +97,7 @@
     WeightsPlan plan(bound);
     plan.follow(model, history({2}));
     RunnerTable table = runners_with({1, 1});
-    table.says_leaving({"r0"}, at(0));
+    table.set_leaving({"r0"}, at(0));
     const auto orders = plan.due(table, at(0));
     REQUIRE(orders.size() == 1);
     CHECK(orders[0].runner == "r1");
@@ -116,7 +116,7 @@
         plan.ordered(order, OrderOutcome::Accepted, at(2));
     plan.reported(orders.front(), 2, false, at(900));
     RunnerTable later = table;
-    later.has_version({orders.front().runner}, model, 2);
+    later.record_version({orders.front().runner}, model, 2);
     CHECK(plan.due(later, at(901)).size() == 1);
 }
 
@@ -215,7 +215,7 @@
     for (const WeightsOrder& order : orders) {
         plan.ordered(order, OrderOutcome::Accepted, at(10));
         plan.reported(order, 1, true, at(100));
-        plan.unanswered(order);
+        plan.report_failed(order);
     }
     CHECK(plan.due(table, at(300)).empty());
     std::set<std::string> later;
@@ -239,7 +239,7 @@
     REQUIRE(orders.size() == 1);
     plan.ordered(orders[0], OrderOutcome::Accepted, at(10));
     CHECK(plan.due(table, at(2000)).empty());
-    plan.unanswered(orders[0]);
+    plan.report_failed(orders[0]);
     plan.reported(orders[0], 1, true, at(2000));
     CHECK(plan.due(table, at(4000)).empty());
 }
@@ -271,7 +271,7 @@
     earlier.version = 5;
     plan.reported(earlier, 5, false, at(900));
     CHECK(plan.open().size() == 1);
-    plan.ordered(earlier, OrderOutcome::InForce, at(900));
+    plan.ordered(earlier, OrderOutcome::AlreadyLoaded, at(900));
     CHECK(plan.open().size() == 1);
     CHECK(plan.loaded(at(900)).empty());
     plan.reported(orders[0], 3, false, at(1000));
@@ -287,7 +287,7 @@
     REQUIRE(earlier.size() == 1);
     plan.follow(model, history({2, 3}));
     REQUIRE(plan.due(table, at(800)).size() == 1);
-    plan.ordered(earlier[0], OrderOutcome::InForce, at(810));
+    plan.ordered(earlier[0], OrderOutcome::AlreadyLoaded, at(810));
     CHECK(plan.open().size() == 1);
     CHECK(plan.loaded(at(810)).empty());
 }
@@ -317,7 +317,7 @@
     {
         const RunnerTable table = runners_with({1});
         for (const WeightsOrder& order : plan.due(table, at(0)))
-            plan.not_given(order, at(0));
+            plan.not_sent(order, at(0));
         CHECK(plan.open().empty());
         std::vector<int> times;
         for (int millis = 100; millis < 4000; millis += 100) {
@@ -335,7 +335,7 @@
         const auto first = plan.due(table, at(0));
         REQUIRE(first.size() == 3);
         for (const WeightsOrder& order : first)
-            plan.not_given(order, at(0));
+            plan.not_sent(order, at(0));
         const auto next = plan.due(table, at(80));
         REQUIRE(next.size() == 3);
         CHECK(next[0].runner != first[0].runner);
@@ -363,7 +363,7 @@
         plan.due(runners_with({1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1}), at(0));
     REQUIRE(orders.size() == 2);
     plan.ordered(orders[0], OrderOutcome::Accepted, at(10));
-    plan.ordered(orders[1], OrderOutcome::InForce, at(10));
+    plan.ordered(orders[1], OrderOutcome::AlreadyLoaded, at(10));
     plan.reported(orders[0], 1, true, at(500));
     REQUIRE(plan.loaded(at(500)).size() == 1);
     CHECK(plan.loaded(at(500))[0].runner == orders[1].runner);
@@ -376,8 +376,8 @@
 {
     WeightsPlan plan(bound);
     plan.follow(model, history({2}));
-    CHECK(plan.changed_part(runners_with({2, 1, 1, 1})) == 0.25);
-    CHECK(plan.changed_part(runners_with({2, 2})) == 1);
+    CHECK(plan.updated_fraction(runners_with({2, 1, 1, 1})) == 0.25);
+    CHECK(plan.updated_fraction(runners_with({2, 2})) == 1);
 }
 
 } // namespace crosslink
--- a/src/serve/completion_call.cpp
+++ b/src/serve/completion_call.cpp
@@ -45,7 +45,7 @@
     call.model = name.substr(0, colon);
     if (colon != std::string::npos)
         call.adapter = name.substr(colon + 1);
-    const ModelGrant* grant = account.terms->grant_for(call.model);
+    const ModelGrant* grant = account.policy->grant_for(call.model);
     if (!grant)
         throw Error(ErrorCode::UnknownModel,
                     "this client account has no such model");
@@ -92,13 +92,13 @@
         call.prompt = value["prompt"].asString();
     }
     const std::uint64_t tokens =
-        json_number(value, "max_tokens", call.max_tokens);
+        json_uint64(value, "max_tokens", call.max_tokens);
     const Json::Value& given = value["max_tokens"];
     if ((!given.isNull() && !given.isUInt64()) || tokens == 0 ||
         tokens > most_tokens)
         reject("\"max_tokens\" must be a whole number from 1 to 100000");
     call.max_tokens = static_cast<std::uint32_t>(tokens);
-    call.stream = json_flag(value, "stream");
+    call.stream = json_bool(value, "stream");
     call.caller = json_string(value, "user");
     return call;
 }
--- a/src/serve/completion_run.cpp
+++ b/src/serve/completion_run.cpp
@@ -162,7 +162,7 @@
     run.adapter = m_call.adapter;
     run.prompt = m_call.prompt;
     run.max_tokens = m_call.max_tokens;
-    run.priority = m_call.account->terms->priority;
+    run.priority = m_call.account->policy->priority;
     run.block_keys = m_call.keys;
     run.continued_text = m_relay.text();
     run.continued_tokens = m_relay.next_index();
@@ -270,18 +270,18 @@
 {
     m_dispatched = true;
     switch (m_relay.take(frame)) {
-    case RelayStep::Drop:
+    case RelayAction::Drop:
         ++m_state.metrics.frames_dropped;
         return FrameVerdict::Continue;
-    case RelayStep::Gap:
+    case RelayAction::Gap:
         m_gap = true;
         return FrameVerdict::Stop;
-    case RelayStep::WrongWeights:
+    case RelayAction::WrongWeights:
         m_wrong_weights = true;
         cancel_current();
         return FrameVerdict::Stop;
-    case RelayStep::Forward:
-    case RelayStep::Finish:
+    case RelayAction::Forward:
+    case RelayAction::Finish:
         break;
     }
     if (!m_times.first_token)
@@ -386,7 +386,7 @@
     if (look_at_port(address).fate == ProcessFate::Ended)
         m_state.engine_ended(address);
     else
-        m_state.break_added.nudge();
+        m_state.unresolved_failure_added.nudge();
 }
 
 void
--- a/src/serve/configuration_duties.cpp
+++ b/src/serve/configuration_duties.cpp
@@ -157,7 +157,7 @@
 bool
 ConfigurationDuties::learn_at_start(InstanceState& state)
 {
-    StartEvidence evidence;
+    StartupReplies evidence;
     try {
         const auto record =
             state.clients.platform().read(configuration_head_key);
--- a/src/serve/configuration_source.cpp
+++ b/src/serve/configuration_source.cpp
@@ -8,9 +8,9 @@
 namespace crosslink
 {
 
-ConfigurationState::Held
+ConfigurationState::ConfigurationPtr
 load_configuration(ConfigurationHead head,
-                   const ConfigurationState::Held& current,
+                   const ConfigurationState::ConfigurationPtr& current,
                    const PartReader& read_part)
 {
     PartTexts texts;
--- a/src/serve/configuration_source.h
+++ b/src/serve/configuration_source.h
@@ -19,9 +19,9 @@
 /// Returns the configuration that `head` names. Parts that `current` has are
 /// taken from it; the others come from `read_part`. Throws
 /// Error(TemplateInvalid) where one is missing or does not fit its digest.
-ConfigurationState::Held
+ConfigurationState::ConfigurationPtr
 load_configuration(ConfigurationHead head,
-                   const ConfigurationState::Held& current,
+                   const ConfigurationState::ConfigurationPtr& current,
                    const PartReader& read_part);
 
 } // namespace crosslink
--- a/src/serve/steward/steward.cpp
+++ b/src/serve/coordinator/coordinator.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include "steward.h"
+#include "coordinator.h"
 
 #include <adapters/clock.h>
 #include <serve/log_line.h>
@@ -32,7 +32,7 @@
 
 } // namespace
 
-Steward::Steward(ForwardState& state)
+Coordinator::Coordinator(ForwardState& state)
     : m_state(state), m_weights(state), m_rollouts(state), m_blocks(state),
       m_kept(state, m_weights),
       m_lease_duty("steward_lease", [this] { return lease_round(); })
@@ -40,7 +40,7 @@
 }
 
 Micros
-Steward::lease_round()
+Coordinator::lease_round()
 {
     const Micros span = m_state.settings.lease();
     const Micros pause = LeaseRenewal(span).pause();
@@ -48,7 +48,7 @@
         release_when_due();
         return pause;
     }
-    const bool may_be_own = m_state.steward_lease.with(
+    const bool may_be_own = m_state.coordinator_lease.with(
         [](DutyLease& lease) { return lease.token() != 0; });
     if (!may_be_own && !is_own_turn())
         return pause;
@@ -57,19 +57,19 @@
         return pause;
     } catch (const Error& failure) {
         LogLine("duty_not_held").field("error", failure.what());
-        return LeaseRenewal(span).pause_after_failure();
+        return LeaseRenewal(span).retry_delay();
     }
 }
 
 /// Takes the duty, or extends its lease.
 void
-Steward::hold_duty(Micros span)
+Coordinator::hold_duty(Micros span)
 {
     const TimePoint asked = monotonic_now();
     const auto lease = m_state.ports.duties.hold(
         duty_name, m_state.settings.peer_address(), span);
     if (!lease) {
-        m_state.steward_lease.with([](DutyLease& mine) { mine.lost(); });
+        m_state.coordinator_lease.with([](DutyLease& mine) { mine.lost(); });
         return;
     }
     const bool taken = lease->token != m_last_token;
@@ -77,7 +77,7 @@
         m_last_token = lease->token;
         took_duty();
     }
-    const bool granted = m_state.steward_lease.with([&](DutyLease& mine) {
+    const bool granted = m_state.coordinator_lease.with([&](DutyLease& mine) {
         if (!m_state.stopping)
             mine.granted(lease->token, asked, lease->span, lease->replaces_own);
         return !m_state.stopping;
@@ -96,10 +96,11 @@
 /// one holds it, only its end is waited for. Instances try one after the other,
 /// so that few calls are made.
 bool
-Steward::is_own_turn()
+Coordinator::is_own_turn()
 {
     const auto holder = [this] {
-        return m_state.fleet.with([](FleetView& view) { return view.steward; });
+        return m_state.fleet.with(
+            [](FleetView& view) { return view.coordinator; });
     };
     const std::string known = holder();
     // An earlier process at this address, which is gone.
@@ -119,7 +120,7 @@
 /// Returns how long this instance leaves a free duty to others. `first` says
 /// that it knows no others yet.
 Micros
-Steward::takeover_wait(bool first)
+Coordinator::takeover_wait(bool first)
 {
     const Micros link_wait = m_state.settings.link_mbps < strong_link_mbps
                                  ? weak_link_wait
@@ -130,7 +131,7 @@
 }
 
 std::size_t
-Steward::takeover_rank()
+Coordinator::takeover_rank()
 {
     return m_state.fleet.with([this](FleetView& view) {
         std::vector<std::string> names;
@@ -145,7 +146,7 @@
 }
 
 void
-Steward::took_duty()
+Coordinator::took_duty()
 {
     LogLine("duty_taken").field("duty", duty_name).field("token", m_last_token);
     m_weights.begin();
@@ -153,12 +154,12 @@
 }
 
 bool
-Steward::answers() const
+Coordinator::may_answer() const
 {
     if (m_state.has_duty())
         return true;
     const bool other = m_state.fleet.with([this](FleetView& view) {
-        const std::string& address = view.steward_address();
+        const std::string& address = view.coordinator_address();
         return !address.empty() && address != m_state.settings.peer_address();
     });
     return !other && m_state.may_tell_kept(monotonic_now());
@@ -167,7 +168,7 @@
 /// Returns the time as of which this instance may tell what it knows. An answer
 /// must count from it: the process may be frozen at any point.
 TimePoint
-Steward::require_knowledge() const
+Coordinator::require_knowledge() const
 {
     const TimePoint now = monotonic_now();
     if (!m_state.may_tell_kept(now))
@@ -176,60 +177,61 @@
 }
 
 bool
-Steward::stop_telling(std::uint64_t token, const std::string& address)
+Coordinator::stop_answering(std::uint64_t token, const std::string& address)
 {
-    const bool silent = m_kept.stop_telling(token);
+    const bool silent = m_kept.stop_answering(token);
     // The platform may be out of reach, and told nothing of it.
     if (silent)
         m_state.fleet.with(
-            [&](FleetView& view) { view.told_steward = address; });
+            [&](FleetView& view) { view.peer_reported_coordinator = address; });
     return silent;
 }
 
 KeptAnswer
-Steward::ask_kept(const KeptSpace& space, std::span<const PromptPart> parts,
-                  Micros longest)
+Coordinator::find_kept_parts(const KeptSpace& space,
+                             std::span<const PromptPart> parts, Micros longest)
 {
     const TimePoint now = require_knowledge();
     return m_kept.ask(space, parts, longest, now);
 }
 
-ExchangeAnswer
-Steward::exchange(const ExchangeQuestion& question)
+ExchangeResponse
+Coordinator::exchange(const ExchangeRequest& request)
 {
     const TimePoint now = require_knowledge();
-    ExchangeAnswer answer;
-    answer.others = m_loads.with([&](LoadBoard& board) {
-        board.told(question.instance, question.load, now);
-        return board.others(question.instance, now);
+    ExchangeResponse response;
+    response.others = m_loads.with([&](LoadAggregator& board) {
+        board.told(request.instance, request.load, now);
+        return board.others(request.instance, now);
     });
-    m_state.heard_of(question.weights, now);
-    answer.weights = m_state.weights_ages(now);
-    answer.platform_reached = m_state.reaches_platform();
+    m_state.merge_peer_report(request.weights, now);
+    response.weights = m_state.weights_ages(now);
+    response.platform_reached = m_state.reaches_platform();
     // Without the duty nobody asks runners whether they have loaded: they
     // would get no calls for as long as this instance tells what it knew.
     if (m_state.may_act())
-        answer.loading = m_weights.loading();
-    answer.loaded = m_weights.loaded();
-    answer.kept =
-        m_kept.update_since(question.kept_term, question.kept_place, now);
-    return answer;
+        response.loading = m_weights.loading();
+    response.loaded = m_weights.loaded();
+    response.kept =
+        m_kept.update_since(request.kept_term, request.kept_place, now);
+    return response;
 }
 
 void
-Steward::not_saved(const std::string& space, std::span<const PromptPart> parts)
+Coordinator::cancel_saves(const std::string& space,
+                          std::span<const PromptPart> parts)
 {
-    m_kept.not_saved(space, parts);
+    m_kept.cancel_saves(space, parts);
 }
 
 void
-Steward::fleet_changed()
+Coordinator::fleet_changed()
 {
     bool free = false;
     std::map<std::string, std::uint64_t> newest;
     std::uint64_t map = 0;
     m_state.fleet.with([&](FleetView& view) {
-        free = view.steward.empty();
+        free = view.coordinator.empty();
         map = view.map ? view.map->version : 0;
         for (const auto& [model, history] : view.weights)
             newest[model] = history.newest();
@@ -245,9 +247,9 @@
 }
 
 void
-Steward::give_up()
+Coordinator::give_up()
 {
-    const bool held = m_state.steward_lease.with([](DutyLease& lease) {
+    const bool held = m_state.coordinator_lease.with([](DutyLease& lease) {
         const bool mine = lease.held(monotonic_now());
         lease.lost();
         return mine;
@@ -260,10 +262,10 @@
 /// lease: the lease is given back only after as long without an act. Given back
 /// at once, orders of the two were 2.8 s apart, where 3 s are asked for.
 void
-Steward::plan_release()
+Coordinator::plan_release()
 {
     const TimePoint due =
-        monotonic_now() + DutyLease::unused(m_state.settings.lease());
+        monotonic_now() + DutyLease::safety_margin(m_state.settings.lease());
     m_release_at.with([due](auto& at) {
         if (!at)
             at = due;
@@ -271,7 +273,7 @@
 }
 
 void
-Steward::release_when_due()
+Coordinator::release_when_due()
 {
     const bool due = m_release_at.with([](auto& at) {
         const bool now = at && monotonic_now() >= *at;
--- a/src/serve/steward/steward.h
+++ b/src/serve/coordinator/coordinator.h
@@ -13,7 +13,7 @@
 #include <serve/forward/forward_state.h>
 
 #include <crosslink/forward/forwarded_call.h>
-#include <crosslink/forward/load_board.h>
+#include <crosslink/forward/load_aggregator.h>
 #include <crosslink/kept/kept_part.h>
 #include <crosslink/kept/kept_replica.h>
 
@@ -30,27 +30,29 @@
 /// The duties that one instance of the fleet has at a time, under a lease at
 /// the platform: it orders new weights, and it keeps the directory of kept
 /// KV. Every instance runs one of these; all but the holder's are idle.
-class Steward
+class Coordinator
 {
 public:
     /// `state` outlives it.
-    explicit Steward(ForwardState& state);
+    explicit Coordinator(ForwardState& state);
 
     /// True where this instance answers the questions below: it has the duty,
     /// or had it until a moment ago and knows of no other holder.
-    bool answers() const;
+    bool may_answer() const;
     /// Answers where parts lie, for a call that ends within `longest`. Throws
     /// Error(LeaseLost) where the duty ended too long ago.
-    KeptAnswer ask_kept(const KeptSpace& space,
-                        std::span<const PromptPart> parts, Micros longest);
-    /// See KeptDuties::stop_telling(); the later holder is at `address`.
-    bool stop_telling(std::uint64_t token, const std::string& address);
+    KeptAnswer find_kept_parts(const KeptSpace& space,
+                               std::span<const PromptPart> parts,
+                               Micros longest);
+    /// See KeptDuties::stop_answering(); the later holder is at `address`.
+    bool stop_answering(std::uint64_t token, const std::string& address);
     /// Takes note of parts that were told to be saved by a call that did not
     /// run.
-    void not_saved(const std::string& space, std::span<const PromptPart> parts);
+    void cancel_saves(const std::string& space,
+                      std::span<const PromptPart> parts);
     /// Takes in what an instance tells of itself, and returns what it needs to
     /// know of the fleet. Throws Error(LeaseLost).
-    ExchangeAnswer exchange(const ExchangeQuestion& question);
+    ExchangeResponse exchange(const ExchangeRequest& request);
     /// Looks at once at what the platform told anew.
     void fleet_changed();
     /// Does nothing more under the duty, and gives it back a moment later, at a
@@ -74,7 +76,7 @@
     Guarded<std::optional<TimePoint>> m_release_at;
     std::map<std::string, std::uint64_t> m_seen_weights;
     std::uint64_t m_seen_map = 0; ///< Version.
-    Guarded<LoadBoard> m_loads;
+    Guarded<LoadAggregator> m_loads;
     WeightsDuty m_weights;
     RolloutDuty m_rollouts;
     BlockDuty m_blocks;
--- a/src/serve/steward/steward_link.cpp
+++ b/src/serve/coordinator/coordinator_link.cpp
@@ -1,23 +1,23 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include "steward_link.h"
+#include "coordinator_link.h"
 
 #include <crosslink/base/error.h>
 
 namespace crosslink
 {
 
-StewardLink::StewardLink(ForwardState& state, Steward& steward)
-    : m_state(state), m_steward(steward)
+CoordinatorLink::CoordinatorLink(ForwardState& state, Coordinator& coordinator)
+    : m_state(state), m_coordinator(coordinator)
 {
 }
 
 std::shared_ptr<FleetClient>
-StewardLink::client()
+CoordinatorLink::client()
 {
     const std::string address = m_state.fleet.with(
-        [](FleetView& view) { return view.steward_address(); });
+        [](FleetView& view) { return view.coordinator_address(); });
     if (address.empty())
         throw Error(ErrorCode::LeaseLost, "no instance has the duty");
     const std::lock_guard lock(m_mutex);
--- a/src/serve/steward/steward_link.h
+++ b/src/serve/coordinator/coordinator_link.h
@@ -3,9 +3,9 @@
 
 #pragma once
 
-#include "steward.h"
+#include "coordinator.h"
 
-#include <serve/fleet/fleet_calls.h>
+#include <serve/fleet/fleet_rpc.h>
 #include <serve/forward/forward_state.h>
 
 #include <memory>
@@ -17,18 +17,18 @@
 
 /// The way to whichever instance has the duty: this one, or another one over
 /// the network. Safe for many threads.
-class StewardLink
+class CoordinatorLink
 {
 public:
-    StewardLink(ForwardState& state, Steward& steward);
+    CoordinatorLink(ForwardState& state, Coordinator& coordinator);
 
-    /// Calls `ask` with the Steward of this process or with a FleetClient;
+    /// Calls `ask` with the Coordinator of this process or with a FleetClient;
     /// both have the same calls. Throws Error(LeaseLost) where nobody is known
     /// to have the duty, and what the call throws.
     template<typename Ask> auto with(const Ask& ask)
     {
-        if (m_steward.answers())
-            return ask(m_steward);
+        if (m_coordinator.may_answer())
+            return ask(m_coordinator);
         return ask(*client());
     }
 
@@ -36,7 +36,7 @@
     std::shared_ptr<FleetClient> client();
 
     ForwardState& m_state;
-    Steward& m_steward;
+    Coordinator& m_coordinator;
     std::mutex m_mutex;
     std::string m_address;
     std::shared_ptr<FleetClient> m_client;
--- a/src/serve/steward/kept_duties.cpp
+++ b/src/serve/coordinator/kept_duties.cpp
@@ -4,7 +4,7 @@
 #include "kept_duties.h"
 
 #include <adapters/clock.h>
-#include <serve/fleet/fleet_calls.h>
+#include <serve/fleet/fleet_rpc.h>
 #include <serve/log_line.h>
 
 #include <crosslink/base/error.h>
@@ -84,7 +84,7 @@
 }
 
 bool
-KeptDuties::stop_telling(std::uint64_t token)
+KeptDuties::stop_answering(std::uint64_t token)
 {
     return m_kept.with([token](Kept& kept) {
         if (token <= kept.token)
@@ -108,24 +108,24 @@
         m_state.fleet.with([](FleetView& view) { return view.holders; });
     // The own duty stands last, when all changes up to it were told.
     if (holders.holder() != m_state.settings.peer_address() ||
-        !holders.covers(kept_grace_time, now))
+        !holders.is_complete(kept_grace_time, now))
         return;
     for (const std::string& address : holders.recent(kept_grace_time, now))
-        if (!FleetClient(address).stop_telling(token,
-                                               m_state.settings.peer_address()))
+        if (!FleetClient(address).stop_answering(
+                token, m_state.settings.peer_address()))
             return;
     LogLine("earlier_holders_silent").field("token", token);
     m_kept.with([token = token](Kept& kept) {
         if (kept.token != token)
             return;
         kept.others_silent = true;
-        kept.directory.earlier_silent(monotonic_now());
+        kept.directory.earlier_holders_stopped(monotonic_now());
     });
 }
 
 void
-KeptDuties::not_saved(const std::string& space,
-                      std::span<const PromptPart> parts)
+KeptDuties::cancel_saves(const std::string& space,
+                         std::span<const PromptPart> parts)
 {
     m_kept.with([&](Kept& kept) {
         for (const PromptPart& part : parts)
@@ -204,15 +204,16 @@
         const auto found = oldest.find(space.model);
         return found != oldest.end() && space.version < found->second;
     };
-    const double changed = m_weights.changed_part();
-    auto slow = m_state.fetches.with(
-        [](FetchWatch& watch) { return watch.slow_stores(monotonic_now()); });
+    const double changed = m_weights.updated_fraction();
+    auto slow = m_state.fetches.with([](FetchDelayTracker& watch) {
+        return watch.slow_stores(monotonic_now());
+    });
     RunnerMillis clock = 0;
     const auto frees = m_kept.with([&](Kept& kept) {
         const TimePoint now = monotonic_now();
         clock = kept.directory.runner_clock(now);
         kept.directory.set_slow(std::move(slow));
-        return kept.directory.due(obsolete, changed, now);
+        return kept.directory.take_due_frees(obsolete, changed, now);
     });
     const Micros left = m_state.duty_time_left();
     const RunnerMillis until =
@@ -261,7 +262,7 @@
 {
     const KeptListing listing = m_state.ports.stores.list(address);
     m_kept.with([&](Kept& kept) {
-        kept.directory.listed(address, listing, monotonic_now());
+        kept.directory.apply_listing(address, listing, monotonic_now());
         kept.next[address] = listing.next;
     });
     LogLine("kept_listed")
@@ -276,7 +277,7 @@
     const KeptChanges changes =
         m_state.ports.stores.changes(address, after, changes_wait);
     m_kept.with([&](Kept& kept) {
-        if (kept.directory.changed(address, changes, monotonic_now()))
+        if (kept.directory.apply_changes(address, changes, monotonic_now()))
             kept.next[address] = changes.next;
         else
             kept.next.erase(address);
--- a/src/serve/steward/kept_duties.h
+++ b/src/serve/coordinator/kept_duties.h
@@ -41,19 +41,20 @@
     void nudge();
     /// Answers where `parts` lie, for a call that ends within `longest`, as of
     /// `now`, at which this instance may tell. Throws Error(LeaseLost) after
-    /// stop_telling().
+    /// stop_answering().
     KeptAnswer ask(const KeptSpace& space, std::span<const PromptPart> parts,
                    Micros longest, TimePoint now);
     /// See KeptDirectory::update_since(). Throws Error(LeaseLost) after
-    /// stop_telling().
+    /// stop_answering().
     KeptUpdate update_since(std::uint64_t term, std::uint64_t place,
                             TimePoint now);
     /// Tells nothing more until the next begin(), for the holder with `token`.
     /// Returns false where that is no later holder.
-    bool stop_telling(std::uint64_t token);
+    bool stop_answering(std::uint64_t token);
     /// Takes note of parts that were told to be saved by a call that did not
     /// run.
-    void not_saved(const std::string& space, std::span<const PromptPart> parts);
+    void cancel_saves(const std::string& space,
+                      std::span<const PromptPart> parts);
 
 private:
     /// The directory with what feeds it.
--- a/src/serve/steward/weights_duty.cpp
+++ b/src/serve/coordinator/weights_duty.cpp
@@ -29,7 +29,8 @@
 RunnerIncarnation
 incarnation_of(const WeightsOrder& order, const RunnerReport& report)
 {
-    return {order.runner, report.born != 0 ? report.born : order.born};
+    return {order.runner,
+            report.start_ms != 0 ? report.start_ms : order.start_ms};
 }
 
 } // namespace
@@ -67,18 +68,19 @@
     m_plan.with([&result](WeightsPlan& plan) {
         for (const WeightsOrder& order : plan.loaded(monotonic_now()))
             result.push_back(
-                {order.runner, order.born, order.model, order.version});
+                {order.runner, order.start_ms, order.model, order.version});
     });
     return result;
 }
 
 double
-WeightsDuty::changed_part()
+WeightsDuty::updated_fraction()
 {
     const RunnerTable runners =
         m_state.runners.with([](RunnerTable& table) { return table; });
-    return m_plan.with(
-        [&runners](WeightsPlan& plan) { return plan.changed_part(runners); });
+    return m_plan.with([&runners](WeightsPlan& plan) {
+        return plan.updated_fraction(runners);
+    });
 }
 
 Micros
@@ -126,9 +128,8 @@
 {
     if (m_desk.submit({RunnerTask::Kind::Give, order}))
         return;
-    m_plan.with([&order](WeightsPlan& plan) {
-        plan.not_given(order, monotonic_now());
-    });
+    m_plan.with(
+        [&order](WeightsPlan& plan) { plan.not_sent(order, monotonic_now()); });
 }
 
 void
@@ -146,7 +147,7 @@
 {
     const auto report = m_state.ports.orders.report(order.address, order.model);
     if (report && report->leaving)
-        m_state.learned_leaving(incarnation_of(order, *report), "report");
+        m_state.note_runner_leaving(incarnation_of(order, *report), "report");
     return report;
 }
 
@@ -159,9 +160,9 @@
     if (report.busy)
         return OrderOutcome::Busy;
     if (report.version >= order.version) {
-        m_state.learned_weights(incarnation_of(order, report), order.model,
-                                report.version, "report");
-        return OrderOutcome::InForce;
+        m_state.note_runner_weights(incarnation_of(order, report), order.model,
+                                    report.version, "report");
+        return OrderOutcome::AlreadyLoaded;
     }
     const auto token = m_state.acting_token();
     return token ? m_state.ports.orders.give(order, *token, report.orders)
@@ -188,12 +189,12 @@
 {
     const auto report = report_for(order);
     if (!report) {
-        m_plan.with([&order](WeightsPlan& plan) { plan.unanswered(order); });
+        m_plan.with([&order](WeightsPlan& plan) { plan.report_failed(order); });
         return;
     }
     if (!report->busy && report->version >= order.version) {
-        m_state.learned_weights(incarnation_of(order, *report), order.model,
-                                report->version, "report");
+        m_state.note_runner_weights(incarnation_of(order, *report), order.model,
+                                    report->version, "report");
         LogLine("weights_loaded")
             .field("runner", order.runner)
             .field("version", report->version);
--- a/src/serve/steward/weights_duty.h
+++ b/src/serve/coordinator/weights_duty.h
@@ -35,8 +35,8 @@
     std::vector<std::string> loading();
     /// Returns the weights that runners have loaded a moment ago.
     std::vector<RunnerWeights> loaded();
-    /// See WeightsPlan::changed_part().
-    double changed_part();
+    /// See WeightsPlan::updated_fraction().
+    double updated_fraction();
 
 private:
     Micros round();
--- a/src/serve/end_looks.cpp
+++ b/src/serve/end_looks.cpp
@@ -21,8 +21,8 @@
 
 } // namespace
 
-EndLooks::EndLooks(Guarded<OpenBreaks>& breaks, Nudger& added, Found found,
-                   Settle settle)
+EndLooks::EndLooks(Guarded<UnresolvedFailures>& breaks, Nudger& added,
+                   Found found, Settle settle)
     : m_breaks(breaks), m_added(added), m_found(std::move(found)),
       m_settle(std::move(settle)),
       m_duty("end_looks", [this] { return round(); })
@@ -38,13 +38,14 @@
 Micros
 EndLooks::round()
 {
-    const auto ports = m_breaks.with(
-        [](OpenBreaks& breaks) { return breaks.take_due(monotonic_now()); });
-    for (const PortToLookAt& port : ports)
+    const auto ports = m_breaks.with([](UnresolvedFailures& breaks) {
+        return breaks.take_due(monotonic_now());
+    });
+    for (const ProbeTarget& port : ports)
         m_found(port, look_at_port(port.address));
     m_settle();
     const auto next = m_breaks.with(
-        [](const OpenBreaks& breaks) { return breaks.next_due(); });
+        [](const UnresolvedFailures& breaks) { return breaks.next_due(); });
     if (!next)
         return idle_pause;
     return std::clamp(
--- a/src/serve/end_looks.h
+++ b/src/serve/end_looks.h
@@ -8,7 +8,7 @@
 #include "nudger.h"
 
 #include <adapters/port_look.h>
-#include <crosslink/forward/open_breaks.h>
+#include <crosslink/forward/unresolved_failures.h>
 
 #include <functional>
 
@@ -22,12 +22,12 @@
 {
 public:
     /// Called with what a look found.
-    using Found = std::function<void(const PortToLookAt&, PortLook)>;
+    using Found = std::function<void(const ProbeTarget&, PortLook)>;
     /// Called at each round, for verdicts that come with time.
     using Settle = std::function<void()>;
 
     /// `breaks` and `added`, which is nudged with each break, outlive it.
-    EndLooks(Guarded<OpenBreaks>& breaks, Nudger& added, Found found,
+    EndLooks(Guarded<UnresolvedFailures>& breaks, Nudger& added, Found found,
              Settle settle);
     ~EndLooks();
     EndLooks(const EndLooks&) = delete;
@@ -36,7 +36,7 @@
 private:
     Micros round();
 
-    Guarded<OpenBreaks>& m_breaks;
+    Guarded<UnresolvedFailures>& m_breaks;
     Nudger& m_added;
     const Found m_found;
     const Settle m_settle;
--- a/src/serve/entry_instance.cpp
+++ b/src/serve/entry_instance.cpp
@@ -50,8 +50,8 @@
       m_upstreams(m_state), m_gossip(m_state), m_configuration(m_state),
       m_peers(m_state, m_desk, m_gossip, m_path.gate()),
       m_looks(
-          m_state.breaks, m_state.break_added,
-          [this](const PortToLookAt& port, const PortLook& look) {
+          m_state.breaks, m_state.unresolved_failure_added,
+          [this](const ProbeTarget& port, const PortLook& look) {
               if (look.fate == ProcessFate::Ended)
                   m_state.engine_ended(port.address);
           },
--- a/src/serve/fleet/change_taker.cpp
+++ b/src/serve/fleet/change_applier.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include "change_taker.h"
+#include "change_applier.h"
 
 #include <adapters/clock.h>
 #include <serve/forward/forward_state.h>
@@ -13,8 +13,8 @@
 namespace crosslink
 {
 
-ChangeTaker::ChangeTaker(ForwardState& state, bool whole,
-                         std::optional<TimePoint> lapsed_until)
+ChangeApplier::ChangeApplier(ForwardState& state, bool whole,
+                             std::optional<TimePoint> lapsed_until)
     : m_state(state), m_whole(whole), m_lapsed_until(lapsed_until)
 {
     if (whole)
@@ -22,7 +22,7 @@
 }
 
 void
-ChangeTaker::operator()(const MapNamed& change)
+ChangeApplier::operator()(const MapNamed& change)
 {
     const bool newer = m_state.fleet.with([&](FleetView& view) {
         if (view.map && view.map->version >= change.map->version)
@@ -40,7 +40,7 @@
 }
 
 void
-ChangeTaker::operator()(const WeightsNamed& change)
+ChangeApplier::operator()(const WeightsNamed& change)
 {
     m_state.fleet.with([&](FleetView& view) {
         WeightsHistory& history = view.weights[change.model];
@@ -56,7 +56,7 @@
 }
 
 void
-ChangeTaker::operator()(const WeightsRecorded& change)
+ChangeApplier::operator()(const WeightsRecorded& change)
 {
     m_state.fleet.with([&](FleetView& view) {
         view.rollouts[change.model].recorded(change.versions);
@@ -64,7 +64,7 @@
 }
 
 void
-ChangeTaker::operator()(const RolloutMarked& change)
+ChangeApplier::operator()(const RolloutMarked& change)
 {
     m_state.fleet.with([&](FleetView& view) {
         view.rollouts[change.model].marked(change.version, change.open);
@@ -76,15 +76,15 @@
 }
 
 void
-ChangeTaker::operator()(const RequestBlocked& change)
+ChangeApplier::operator()(const RequestBlocked& change)
 {
     if (change.blocked)
         m_blocked.insert(change.request);
-    m_state.recorded_block(change.request, change.blocked);
+    m_state.note_block_record(change.request, change.blocked);
 }
 
 void
-ChangeTaker::operator()(const ZoneEvacuated& change)
+ChangeApplier::operator()(const ZoneEvacuated& change)
 {
     if (change.evacuated)
         m_evacuated.insert(change.zone);
@@ -98,37 +98,39 @@
 
 /// Closes the connections to the process that the runner was before.
 void
-ChangeTaker::started_anew(const ListedRunner& runner)
+ChangeApplier::started_anew(const ListedRunner& runner)
 {
     m_state.connections.drop_unproven(runner.address, monotonic_now());
     LogLine("runner_started_anew")
         .field("runner", runner.id)
-        .field("born", runner.born)
+        .field("born", runner.start_ms)
         .span("cold_for", runner.cold_for);
 }
 
 /// Takes note of what a listing says of the processes before: an earlier one of
 /// the id, and others at the address, have ended, unless they left as planned.
 void
-ChangeTaker::note_replaced(const ListedRunner& runner)
+ChangeApplier::note_replaced(const ListedRunner& runner)
 {
     const auto earlier =
         m_state.runners.with([&runner](const RunnerTable& table) {
             const auto known = table.entries().find(runner.id);
-            const bool starts_anew = known != table.entries().end() &&
-                                     known->second.listed.born < runner.born;
+            const bool starts_anew =
+                known != table.entries().end() &&
+                known->second.listed.start_ms < runner.start_ms;
             return starts_anew ? std::optional(known->second.listed)
                                : std::nullopt;
         });
     if (earlier)
-        m_state.runner_ended({earlier->id, earlier->born}, "new process");
-    m_state.runner_replaced(runner);
+        m_state.note_runner_exit({earlier->id, earlier->start_ms},
+                                 "new process");
+    m_state.note_runner_replaced(runner);
 }
 
 /// Takes note of a runner that is listed no longer: unless it said that it
 /// leaves, its process may have ended.
 void
-ChangeTaker::note_gone(const std::string& id)
+ChangeApplier::note_gone(const std::string& id)
 {
     std::optional<ListedRunner> gone;
     bool leaves = false;
@@ -144,18 +146,18 @@
     });
     if (!gone)
         return;
-    const RunnerIncarnation incarnation{gone->id, gone->born};
-    m_state.breaks.with([&](OpenBreaks& breaks) {
+    const RunnerIncarnation incarnation{gone->id, gone->start_ms};
+    m_state.breaks.with([&](UnresolvedFailures& breaks) {
         if (leaves)
             breaks.leaves(incarnation);
         else
             breaks.gone(incarnation, gone->zone, of_zone, monotonic_now());
     });
-    m_state.break_added.nudge();
+    m_state.unresolved_failure_added.nudge();
 }
 
 void
-ChangeTaker::operator()(const RunnerListed& change)
+ChangeApplier::operator()(const RunnerListed& change)
 {
     m_runners.push_back(change.runner);
     note_replaced(change.runner);
@@ -171,7 +173,7 @@
 }
 
 void
-ChangeTaker::operator()(const RunnerGone& change)
+ChangeApplier::operator()(const RunnerGone& change)
 {
     // What lapsed while the platform was away may be well.
     if (!m_lapsed_until)
@@ -187,7 +189,7 @@
 }
 
 void
-ChangeTaker::operator()(const InstanceListed& change)
+ChangeApplier::operator()(const InstanceListed& change)
 {
     const InstanceInfo& instance = change.instance;
     m_instances.insert(instance.name);
@@ -207,13 +209,13 @@
 }
 
 void
-ChangeTaker::operator()(const DutyHolder& change)
+ChangeApplier::operator()(const DutyHolder& change)
 {
     m_holder_named = true;
     m_state.fleet.with([&](FleetView& view) {
-        view.steward = change.address;
-        view.told_steward.clear();
-        view.holders.named(change.address, monotonic_now());
+        view.coordinator = change.address;
+        view.peer_reported_coordinator.clear();
+        view.holders.set_holder(change.address, monotonic_now());
     });
     LogLine("duty_holder")
         .field("duty", change.duty)
@@ -221,7 +223,7 @@
 }
 
 void
-ChangeTaker::finish()
+ChangeApplier::finish()
 {
     if (m_whole)
         finish_whole();
@@ -229,12 +231,12 @@
     const TimePoint now = monotonic_now();
     m_state.fleet.with([&](FleetView& view) {
         for (const auto& [model, record] : view.rollouts)
-            record.tell(view.weights[model], limit, now);
+            record.apply_to(view.weights[model], limit, now);
     });
 }
 
 void
-ChangeTaker::finish_whole()
+ChangeApplier::finish_whole()
 {
     const TimePoint now = monotonic_now();
     m_state.runners.with([this, now](RunnerTable& table) {
@@ -249,10 +251,10 @@
         [this](CrashHistory& history) { history.recorded_only(m_blocked); });
     m_state.fleet.with([this](FleetView& view) {
         view.listed = true;
-        view.holders.missed(monotonic_now());
+        view.holders.record_gap(monotonic_now());
         if (!m_holder_named) {
-            view.steward.clear();
-            view.holders.named("", monotonic_now());
+            view.coordinator.clear();
+            view.holders.set_holder("", monotonic_now());
         }
         ++view.instances_version;
         std::erase_if(view.instances, [this](const auto& item) {
--- a/src/serve/fleet/change_taker.h
+++ b/src/serve/fleet/change_applier.h
@@ -19,13 +19,13 @@
 
 /// Takes one change after the other that the platform told into the state of
 /// an instance.
-class ChangeTaker
+class ChangeApplier
 {
 public:
     /// `whole` where the changes are all that there is; see
-    /// ForwardState::take() for `lapsed_until`. `state` outlives it.
-    ChangeTaker(ForwardState& state, bool whole,
-                std::optional<TimePoint> lapsed_until);
+    /// ForwardState::apply_changes() for `lapsed_until`. `state` outlives it.
+    ChangeApplier(ForwardState& state, bool whole,
+                  std::optional<TimePoint> lapsed_until);
 
     void operator()(const MapNamed& change);
     void operator()(const WeightsNamed& change);
--- a/src/serve/fleet/news_intake.cpp
+++ b/src/serve/fleet/change_receiver.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include "news_intake.h"
+#include "change_receiver.h"
 
 #include <adapters/clock.h>
 #include <serve/log_line.h>
@@ -30,20 +30,20 @@
 
 } // namespace
 
-NewsIntake::NewsIntake(ForwardState& state, Steward& steward)
-    : m_state(state), m_steward(steward)
+ChangeReceiver::ChangeReceiver(ForwardState& state, Coordinator& coordinator)
+    : m_state(state), m_coordinator(coordinator)
 {
 }
 
 void
-NewsIntake::told_by_platform(const NewsPage& page, TimePoint confirmed)
+ChangeReceiver::told_by_platform(const ChangePage& page, TimePoint confirmed)
 {
     const std::lock_guard lock(m_mutex);
     take(page, confirmed);
 }
 
 void
-NewsIntake::told_by_instance(const NewsPage& page, TimePoint confirmed)
+ChangeReceiver::told_by_instance(const ChangePage& page, TimePoint confirmed)
 {
     const std::lock_guard lock(m_mutex);
     if (take(page, confirmed))
@@ -51,35 +51,36 @@
 }
 
 bool
-NewsIntake::take(const NewsPage& page, TimePoint confirmed)
+ChangeReceiver::take(const ChangePage& page, TimePoint confirmed)
 {
     const TimePoint now = monotonic_now();
     // News of long ago, taken at a start, say nothing of the platform now.
     const bool fresh = now - confirmed <= longest_silence;
-    if (!m_log.take(page))
+    if (!m_log.apply(page))
         return false;
     const auto lapsed = fresh ? lapsed_until(now) : std::nullopt;
-    if (page.whole)
-        m_whole_place = page.place;
+    if (page.is_snapshot)
+        m_whole_place = page.revision;
     m_confirmed = std::max(m_confirmed.value_or(confirmed), confirmed);
     if (fresh) {
         m_state.fleet.with(
             [now](FleetView& view) { view.reach.regained(now); });
         if (m_lost)
-            LogLine("platform_regained").field("place", page.place);
+            LogLine("platform_regained").field("place", page.revision);
         m_lost = false;
     }
-    if (!page.whole && page.entries.empty())
+    if (!page.is_snapshot && page.entries.empty())
         return true;
-    m_state.take(m_state.ports.feed.decode(page), page.whole, lapsed);
-    m_steward.fleet_changed();
+    m_state.apply_changes(m_state.ports.feed.decode(page), page.is_snapshot,
+                          lapsed);
+    m_coordinator.fleet_changed();
     return true;
 }
 
 /// Returns until when runners that are not listed any more may be well: the
 /// platform was away until a moment ago.
 std::optional<TimePoint>
-NewsIntake::lapsed_until(TimePoint now)
+ChangeReceiver::lapsed_until(TimePoint now)
 {
     if (m_lost || (m_confirmed && now - *m_confirmed > longest_silence))
         m_lapsed_until = now + lapsed_time;
@@ -89,10 +90,10 @@
 }
 
 void
-NewsIntake::learn_holders(const HoldersSeen& seen)
+ChangeReceiver::learn_holders(const HoldersSeen& seen)
 {
     const std::lock_guard lock(m_mutex);
-    if (!m_log.place() || seen.place < m_whole_place)
+    if (!m_log.revision() || seen.place < m_whole_place)
         return;
     std::vector<HolderHistory::Ended> ended;
     ended.reserve(seen.ended.size());
@@ -106,11 +107,11 @@
 }
 
 HoldersSeen
-NewsIntake::holders_seen(TimePoint now)
+ChangeReceiver::holders_seen(TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
     HoldersSeen seen;
-    seen.place = m_log.place().value_or(0);
+    seen.place = m_log.revision().value_or(0);
     m_state.fleet.with([&](const FleetView& view) {
         seen.watched = now - view.holders.from();
         for (const HolderHistory::Ended& item : view.holders.ended())
@@ -120,7 +121,7 @@
 }
 
 void
-NewsIntake::lost()
+ChangeReceiver::lost()
 {
     const std::lock_guard lock(m_mutex);
     m_lost = true;
@@ -129,28 +130,28 @@
 }
 
 std::optional<std::uint64_t>
-NewsIntake::place()
+ChangeReceiver::place()
 {
     const std::lock_guard lock(m_mutex);
-    return m_log.place();
+    return m_log.revision();
 }
 
-NewsPage
-NewsIntake::since(std::optional<std::uint64_t> place)
+ChangePage
+ChangeReceiver::since(std::optional<std::uint64_t> place)
 {
     const std::lock_guard lock(m_mutex);
     return m_log.since(place);
 }
 
 Micros
-NewsIntake::age(TimePoint now)
+ChangeReceiver::age(TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
     return m_confirmed ? now - *m_confirmed : never;
 }
 
 bool
-NewsIntake::told_in_time(TimePoint now)
+ChangeReceiver::told_in_time(TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
     return now - m_told_confirmed <= in_time;
--- a/src/serve/fleet/news_intake.h
+++ b/src/serve/fleet/change_receiver.h
@@ -5,11 +5,11 @@
 
 #include "exchange.h"
 
+#include <serve/coordinator/coordinator.h>
 #include <serve/forward/forward_state.h>
-#include <serve/steward/steward.h>
 
 #include <crosslink/base/time.h>
-#include <crosslink/membership/news_log.h>
+#include <crosslink/membership/change_log.h>
 
 #include <cstdint>
 #include <mutex>
@@ -21,16 +21,16 @@
 /// The one way of the platform's news into this instance, whether the platform
 /// told them or another instance: in order, never backwards, and with the time
 /// as of which they are known to be all. Safe for many threads.
-class NewsIntake
+class ChangeReceiver
 {
 public:
-    NewsIntake(ForwardState& state, Steward& steward);
+    ChangeReceiver(ForwardState& state, Coordinator& coordinator);
 
     /// Takes in what the platform answered, which was all at `confirmed`. It is
     /// dropped where other news came in meanwhile: it is to be asked anew.
-    void told_by_platform(const NewsPage& page, TimePoint confirmed);
+    void told_by_platform(const ChangePage& page, TimePoint confirmed);
     /// Takes in what another instance told, which was all at `confirmed`.
-    void told_by_instance(const NewsPage& page, TimePoint confirmed);
+    void told_by_instance(const ChangePage& page, TimePoint confirmed);
     /// Takes over what another instance has seen of earlier holders of the
     /// duty, where it reaches up to what is known here. A fresh instance that
     /// took the duty waited 8 s to show that no earlier holder tells, and the
@@ -44,7 +44,7 @@
     /// Returns up to where the platform's store is known.
     std::optional<std::uint64_t> place();
     /// Returns what follows `place`, for another instance.
-    NewsPage since(std::optional<std::uint64_t> place);
+    ChangePage since(std::optional<std::uint64_t> place);
     /// Returns how long ago at `now` the platform last told that all is known
     /// here; a large time before the first.
     Micros age(TimePoint now);
@@ -53,13 +53,13 @@
     bool told_in_time(TimePoint now);
 
 private:
-    bool take(const NewsPage& page, TimePoint confirmed);
+    bool take(const ChangePage& page, TimePoint confirmed);
     std::optional<TimePoint> lapsed_until(TimePoint now);
 
     ForwardState& m_state;
-    Steward& m_steward;
+    Coordinator& m_coordinator;
     std::mutex m_mutex;
-    NewsLog m_log;
+    ChangeLog m_log;
     std::uint64_t m_whole_place = 0; ///< Of the last whole page.
     std::optional<TimePoint> m_confirmed;
     TimePoint m_told_confirmed{}; ///< The same, by other instances alone.
--- a/src/serve/fleet/exchange_duty.cpp
+++ b/src/serve/fleet/exchange_duty.cpp
@@ -3,7 +3,7 @@
 
 #include "exchange_duty.h"
 
-#include "fleet_calls.h"
+#include "fleet_rpc.h"
 
 #include <adapters/clock.h>
 #include <adapters/random.h>
@@ -46,37 +46,37 @@
 
 } // namespace
 
-ExchangeDuty::ExchangeDuty(ForwardState& state, Steward& steward,
-                           ExchangeDesk& desk, NewsIntake& news)
-    : m_state(state), m_steward(steward), m_desk(desk), m_news(news),
+ExchangeDuty::ExchangeDuty(ForwardState& state, Coordinator& coordinator,
+                           ExchangeHandler& desk, ChangeReceiver& news)
+    : m_state(state), m_coordinator(coordinator), m_desk(desk), m_news(news),
       m_duty("exchange", [this] { return round(); })
 {
 }
 
 /// Returns what this instance tells its parent.
-ExchangeQuestion
-ExchangeDuty::question(TimePoint now)
+ExchangeRequest
+ExchangeDuty::request(TimePoint now)
 {
-    ExchangeQuestion question;
-    question.instance = m_state.settings.name;
+    ExchangeRequest request;
+    request.instance = m_state.settings.name;
     // Only those that are to be asked speak for others: of two that asked each
     // other, each would count the other's load as its own.
     if (m_state.is_parent())
-        question.load = m_desk.group_load(now);
+        request.load = m_desk.group_load(now);
     else
-        question.load = m_state.runners.with(
+        request.load = m_state.runners.with(
             [](RunnerTable& table) { return table.own_load(); });
-    std::tie(question.kept_term, question.kept_place) = m_state.kept.with(
+    std::tie(request.kept_term, request.kept_place) = m_state.kept.with(
         [](KeptReplica& replica) { return replica.position(); });
-    question.weights = m_state.weights_ages(now);
-    question.lost = m_state.lost_contacts(now);
-    question.crashes = m_state.crash_news(now);
-    question.limits = m_state.limit_news(now);
-    question.leaving = m_state.leaving_news();
-    question.fetches = m_state.fetches.with(
-        [](FetchWatch& watch) { return watch.take_untold(); });
-    question.news_place = m_news.place();
-    return question;
+    request.weights = m_state.weights_ages(now);
+    request.lost = m_state.lost_contacts(now);
+    request.crashes = m_state.crash_updates(now);
+    request.limits = m_state.limit_updates(now);
+    request.leaving = m_state.leaving_updates();
+    request.fetches = m_state.fetches.with(
+        [](FetchDelayTracker& watch) { return watch.take_unreported(); });
+    request.news_place = m_news.place();
+    return request;
 }
 
 /// Returns the address of the parent to ask at `now`; empty for none. Those
@@ -86,7 +86,7 @@
 {
     std::erase_if(m_avoided,
                   [now](const auto& item) { return item.second <= now; });
-    const std::vector<std::string> parents = m_state.tree_place().parents;
+    const std::vector<std::string> parents = m_state.tree_position().parents;
     const auto avoided_until = [this](const std::string& address) {
         const auto found = m_avoided.find(address);
         return found == m_avoided.end() ? TimePoint{} : found->second;
@@ -99,12 +99,12 @@
     return best == parents.end() ? std::string() : *best;
 }
 
-ExchangeAnswer
-ExchangeDuty::ask(const ExchangeQuestion& question)
+ExchangeResponse
+ExchangeDuty::ask(const ExchangeRequest& request)
 {
-    if (m_steward.answers()) {
+    if (m_coordinator.may_answer()) {
         m_parent.clear();
-        return m_steward.exchange(question);
+        return m_coordinator.exchange(request);
     }
     const std::string parent = choose_parent(monotonic_now());
     if (parent.empty())
@@ -114,48 +114,48 @@
         LogLine("parent_chosen").field("address", parent);
     }
     m_parent = parent;
-    return m_client->exchange(question);
+    return m_client->exchange(request);
 }
 
 /// Takes in what the parent answered to a question of `asked`.
 void
-ExchangeDuty::take(const ExchangeAnswer& answer, TimePoint asked)
+ExchangeDuty::take(const ExchangeResponse& response, TimePoint asked)
 {
     const TimePoint now = monotonic_now();
-    m_desk.parent_told(answer, asked);
-    m_state.counters.load_age.add(now - asked + answer.age);
-    m_state.counters.news_age.add(now - asked + answer.news_age);
-    m_news.learn_holders(answer.holders);
-    m_news.told_by_instance(answer.news, asked - answer.news_age);
+    m_desk.parent_told(response, asked);
+    m_state.counters.load_age.add(now - asked + response.age);
+    m_state.counters.news_age.add(now - asked + response.news_age);
+    m_news.learn_holders(response.holders);
+    m_news.told_by_instance(response.news, asked - response.news_age);
     m_state.runners.with([&](RunnerTable& table) {
-        table.others_told(answer.others, asked - answer.load_age - pause());
-        for (const std::string& runner : answer.loading)
+        table.others_told(response.others, asked - response.load_age - pause());
+        for (const std::string& runner : response.loading)
             table.loads(runner, now, loading_hold);
     });
     m_state.kept.with(
-        [&](KeptReplica& replica) { replica.take(answer.kept, asked); });
-    for (const RunnerWeights& loaded : answer.loaded)
-        m_state.learned_weights({loaded.runner, loaded.born}, loaded.model,
-                                loaded.version, "holder");
-    m_state.heard_of(answer.weights, now);
-    m_state.heard_of(answer.lost, asked);
-    m_state.heard_of(answer.crashes, asked);
-    m_state.heard_of(answer.limits);
-    m_state.heard_of(answer.leaving);
-    m_state.fetches.with([&](FetchWatch& watch) {
-        for (const FetchLateness& fetch : answer.fetches)
-            watch.told(fetch, asked);
+        [&](KeptReplica& replica) { replica.take(response.kept, asked); });
+    for (const RunnerWeights& loaded : response.loaded)
+        m_state.note_runner_weights({loaded.runner, loaded.start_ms},
+                                    loaded.model, loaded.version, "holder");
+    m_state.merge_peer_report(response.weights, now);
+    m_state.merge_peer_report(response.lost, asked);
+    m_state.merge_peer_report(response.crashes, asked);
+    m_state.merge_peer_report(response.limits);
+    m_state.merge_peer_report(response.leaving);
+    m_state.fetches.with([&](FetchDelayTracker& watch) {
+        for (const FetchDelay& fetch : response.fetches)
+            watch.set_fleet_delay(fetch, asked);
     });
-    if (answer.platform_reached)
+    if (response.platform_reached)
         m_state.fleet.with(
             [now](FleetView& view) { view.reach.reached_by_another(now); });
 }
 
 /// Avoids a parent that has lost the holder of the duty, or its own parent.
 void
-ExchangeDuty::avoid_if_cut_off(const ExchangeAnswer& answer, TimePoint now)
+ExchangeDuty::avoid_if_cut_off(const ExchangeResponse& response, TimePoint now)
 {
-    if (!m_parent.empty() && answer.age > load_holds)
+    if (!m_parent.empty() && response.age > load_holds)
         m_avoided[m_parent] = now + avoided_for;
 }
 
@@ -163,11 +163,11 @@
 ExchangeDuty::round()
 {
     const TimePoint asked = monotonic_now();
-    const ExchangeQuestion told = question(asked);
+    const ExchangeRequest told = request(asked);
     try {
-        const ExchangeAnswer answer = ask(told);
-        take(answer, asked);
-        avoid_if_cut_off(answer, monotonic_now());
+        const ExchangeResponse response = ask(told);
+        take(response, asked);
+        avoid_if_cut_off(response, monotonic_now());
         m_failures = 0;
         return pause();
     } catch (const std::exception& failure) {
@@ -183,7 +183,7 @@
     if (m_parent.empty())
         return exchange_pause;
     const std::string holder = m_state.fleet.with(
-        [](const FleetView& view) { return view.steward_address(); });
+        [](const FleetView& view) { return view.coordinator_address(); });
     return m_parent == holder ? exchange_pause : near_pause;
 }
 
@@ -225,7 +225,7 @@
         if (holder.empty())
             return;
         m_state.fleet.with(
-            [&](FleetView& view) { view.told_steward = holder; });
+            [&](FleetView& view) { view.peer_reported_coordinator = holder; });
         LogLine("duty_holder_told").field("address", holder);
     } catch (const Error& failure) {
         spdlog::debug("holder: {}", failure.what());
--- a/src/serve/fleet/exchange_duty.h
+++ b/src/serve/fleet/exchange_duty.h
@@ -3,10 +3,10 @@
 
 #pragma once
 
+#include "change_receiver.h"
 #include "exchange.h"
-#include "exchange_desk.h"
-#include "fleet_calls.h"
-#include "news_intake.h"
+#include "exchange_handler.h"
+#include "fleet_rpc.h"
 
 #include <serve/duty.h>
 #include <serve/forward/forward_state.h>
@@ -24,24 +24,24 @@
 class ExchangeDuty
 {
 public:
-    ExchangeDuty(ForwardState& state, Steward& steward, ExchangeDesk& desk,
-                 NewsIntake& news);
+    ExchangeDuty(ForwardState& state, Coordinator& coordinator,
+                 ExchangeHandler& desk, ChangeReceiver& news);
 
 private:
     Micros round();
-    ExchangeQuestion question(TimePoint now);
-    ExchangeAnswer ask(const ExchangeQuestion& question);
+    ExchangeRequest request(TimePoint now);
+    ExchangeResponse ask(const ExchangeRequest& request);
     std::string choose_parent(TimePoint now);
-    void take(const ExchangeAnswer& answer, TimePoint asked);
-    void avoid_if_cut_off(const ExchangeAnswer& answer, TimePoint now);
+    void take(const ExchangeResponse& response, TimePoint asked);
+    void avoid_if_cut_off(const ExchangeResponse& response, TimePoint now);
     Micros pause();
     Micros failed(const std::exception& failure);
     void ask_for_holder();
 
     ForwardState& m_state;
-    Steward& m_steward;
-    ExchangeDesk& m_desk;
-    NewsIntake& m_news;
+    Coordinator& m_coordinator;
+    ExchangeHandler& m_desk;
+    ChangeReceiver& m_news;
     std::string m_parent;                  ///< Address; empty for none.
     std::unique_ptr<FleetClient> m_client; ///< To the parent.
     /// Parents that did not answer, or knew nothing new, and until when they
--- a/src/serve/fleet/exchange_desk.h
+++ b/src/serve/fleet/exchange_handler.h
@@ -3,15 +3,15 @@
 
 #pragma once
 
+#include "change_receiver.h"
 #include "exchange.h"
-#include "news_intake.h"
 
+#include <serve/coordinator/coordinator.h>
 #include <serve/forward/forward_state.h>
 #include <serve/guarded.h>
-#include <serve/steward/steward.h>
 
 #include <crosslink/base/time.h>
-#include <crosslink/forward/load_board.h>
+#include <crosslink/forward/load_aggregator.h>
 
 #include <map>
 #include <string>
@@ -22,35 +22,36 @@
 /// Answers the instances that ask this one: as the holder of the duty, or with
 /// what the own parent in the fleet's tree told, and the load of all that ask
 /// here. Safe for many threads.
-class ExchangeDesk
+class ExchangeHandler
 {
 public:
-    ExchangeDesk(ForwardState& state, Steward& steward, NewsIntake& news);
+    ExchangeHandler(ForwardState& state, Coordinator& coordinator,
+                    ChangeReceiver& news);
 
     /// Takes in what an instance tells of itself, and returns what it needs to
     /// know of the fleet. Throws Error(LeaseLost).
-    ExchangeAnswer exchange(const ExchangeQuestion& question);
+    ExchangeResponse exchange(const ExchangeRequest& request);
     /// Returns the load that the instances which ask here give to runners, and
     /// this one's own.
     std::map<std::string, RunnerLoad> group_load(TimePoint now);
     /// Takes in what the parent answered to a question of `asked`.
-    void parent_told(const ExchangeAnswer& answer, TimePoint asked);
+    void parent_told(const ExchangeResponse& response, TimePoint asked);
     /// Returns the age at `now` of what the holder told; large before that.
     Micros age(TimePoint now);
 
 private:
     /// What the parent told last.
     struct Told {
-        ExchangeAnswer answer;
+        ExchangeResponse response;
         TimePoint at{}; ///< As of when the holder told it.
     };
 
-    ExchangeAnswer handed_on(const ExchangeQuestion& question, TimePoint now);
+    ExchangeResponse handed_on(const ExchangeRequest& request, TimePoint now);
 
     ForwardState& m_state;
-    Steward& m_steward;
-    NewsIntake& m_news;
-    Guarded<LoadBoard> m_children;
+    Coordinator& m_coordinator;
+    ChangeReceiver& m_news;
+    Guarded<LoadAggregator> m_children;
     Guarded<Told> m_told;
 };
 
--- a/src/serve/fleet/exchange_json.cpp
+++ b/src/serve/fleet/exchange_json.cpp
@@ -83,7 +83,7 @@
     value["ready"] = update.ready;
     value["term"] = Json::UInt64(update.term);
     value["place"] = Json::UInt64(update.place);
-    value["whole"] = update.whole;
+    value["whole"] = update.is_snapshot;
     value["clock"] = Json::UInt64(update.clock);
     value["age_us"] = Json::Int64(update.age.count());
     value["entries"] = entries_to_json(update.entries);
@@ -94,11 +94,11 @@
 update_from_json(const Json::Value& value)
 {
     KeptUpdate update;
-    update.ready = json_flag(value, "ready");
-    update.term = json_number(value, "term");
-    update.place = json_number(value, "place");
-    update.whole = json_flag(value, "whole");
-    update.clock = json_number(value, "clock");
+    update.ready = json_bool(value, "ready");
+    update.term = json_uint64(value, "term");
+    update.place = json_uint64(value, "place");
+    update.is_snapshot = json_bool(value, "whole");
+    update.clock = json_uint64(value, "clock");
     update.age = json_span(value, "age_us");
     update.entries = entries_from_json(value["entries"]);
     return update;
@@ -117,7 +117,7 @@
 WeightsAge
 age_from_json(const Json::Value& value)
 {
-    return {json_string(value, "model"), json_number(value, "version"),
+    return {json_string(value, "model"), json_uint64(value, "version"),
             json_span(value, "age_us")};
 }
 
@@ -126,7 +126,7 @@
 {
     Json::Value value;
     value["runner"] = loaded.runner;
-    value["born"] = Json::UInt64(loaded.born);
+    value["born"] = Json::UInt64(loaded.start_ms);
     value["model"] = loaded.model;
     value["version"] = Json::UInt64(loaded.version);
     return value;
@@ -135,12 +135,12 @@
 RunnerWeights
 loaded_from_json(const Json::Value& value)
 {
-    return {json_string(value, "runner"), json_number(value, "born"),
-            json_string(value, "model"), json_number(value, "version")};
+    return {json_string(value, "runner"), json_uint64(value, "born"),
+            json_string(value, "model"), json_uint64(value, "version")};
 }
 
 Json::Value
-lost_to_json(const LostContact& lost)
+lost_to_json(const ConnectionFailure& lost)
 {
     Json::Value value;
     value["runner"] = lost.runner;
@@ -148,7 +148,7 @@
     return value;
 }
 
-LostContact
+ConnectionFailure
 lost_from_json(const Json::Value& value)
 {
     return {json_string(value, "runner"), json_span(value, "age_us")};
@@ -159,16 +159,16 @@
 /// "answered": {DIGEST: AGE}, "held": {DIGEST: AGE}}, ages in microseconds.
 /// None where nothing is told, as nearly always.
 Json::Value
-crashes_to_json(const CrashNews& news)
+crashes_to_json(const CrashUpdate& news)
 {
     Json::Value value(Json::objectValue);
     std::map<std::tuple<std::string_view, std::uint64_t, Micros>, Json::Value>
         rows;
-    for (const CrashNews::Broken& call : news.broken) {
-        Json::Value& row = rows[{call.runner, call.born, call.since_end}];
+    for (const CrashUpdate::Broken& call : news.broken) {
+        Json::Value& row = rows[{call.runner, call.start_ms, call.since_end}];
         if (row.empty()) {
             row.append(call.runner);
-            row.append(Json::UInt64(call.born));
+            row.append(Json::UInt64(call.start_ms));
             row.append(Json::Int64(call.since_end.count()));
         }
         row.append(call.request);
@@ -176,15 +176,15 @@
     }
     for (const auto& [end, row] : rows)
         value["broken"].append(row);
-    for (const CrashNews::Answered& answer : news.answered)
+    for (const CrashUpdate::Answered& answer : news.answered)
         value["answered"][answer.request] = Json::Int64(answer.since.count());
-    for (const CrashNews::Held& item : news.held)
+    for (const CrashUpdate::Held& item : news.held)
         value["held"][item.request] = Json::Int64(item.since.count());
     return value;
 }
 
 void
-add_broken(const Json::Value& row, std::vector<CrashNews::Broken>& calls)
+add_broken(const Json::Value& row, std::vector<CrashUpdate::Broken>& calls)
 {
     constexpr Json::ArrayIndex first_call = 3;
     if (!row.isArray() || row.size() < first_call)
@@ -195,10 +195,10 @@
                          row[1].asUInt64(), row[i + 1].asBool(), since_end});
 }
 
-CrashNews
+CrashUpdate
 crashes_from_json(const Json::Value& value)
 {
-    CrashNews news;
+    CrashUpdate news;
     if (!value.isObject())
         return news;
     for (const Json::Value& row : value["broken"])
@@ -216,11 +216,11 @@
 /// [RUNNER, BORN, CHANGE, HEARD, CALLS A SECOND]; the last one is left out
 /// where the limit ended.
 Json::Value
-limit_to_json(const LimitNews& news)
+limit_to_json(const LimitUpdate& news)
 {
     Json::Value row(Json::arrayValue);
     row.append(news.runner);
-    row.append(Json::UInt64(news.born));
+    row.append(Json::UInt64(news.start_ms));
     row.append(Json::UInt64(news.change));
     row.append(Json::UInt64(news.heard));
     if (news.per_second != no_rate_limit)
@@ -228,7 +228,7 @@
     return row;
 }
 
-LimitNews
+LimitUpdate
 limit_from_json(const Json::Value& row)
 {
     constexpr Json::ArrayIndex rate = 4;
@@ -241,15 +241,15 @@
 
 /// [RUNNER, BORN].
 Json::Value
-leaving_to_json(const LeavingNews& news)
+leaving_to_json(const LeavingUpdate& news)
 {
     Json::Value row(Json::arrayValue);
     row.append(news.runner);
-    row.append(Json::UInt64(news.born));
+    row.append(Json::UInt64(news.start_ms));
     return row;
 }
 
-LeavingNews
+LeavingUpdate
 leaving_from_json(const Json::Value& row)
 {
     if (!row.isArray() || row.size() < 2)
@@ -261,8 +261,8 @@
 samples_to_json(const FetchSamples& samples)
 {
     Json::Value row(Json::arrayValue);
-    row.append(samples.way.store);
-    row.append(samples.way.zone);
+    row.append(samples.path.store);
+    row.append(samples.path.zone);
     row.append(samples.calls);
     row.append(Json::Int64(std::llround(samples.late_ms)));
     return row;
@@ -279,17 +279,17 @@
 }
 
 Json::Value
-lateness_to_json(const FetchLateness& lateness)
+lateness_to_json(const FetchDelay& lateness)
 {
     Json::Value row(Json::arrayValue);
-    row.append(lateness.way.store);
-    row.append(lateness.way.zone);
+    row.append(lateness.path.store);
+    row.append(lateness.path.zone);
     row.append(Json::Int64(std::llround(lateness.late_ms)));
     row.append(Json::Int64(lateness.age.count()));
     return row;
 }
 
-FetchLateness
+FetchDelay
 lateness_from_json(const Json::Value& row)
 {
     if (!row.isArray() || row.size() < 4)
@@ -315,7 +315,7 @@
 holders_from_json(const Json::Value& value)
 {
     HoldersSeen holders;
-    holders.place = json_number(value, "place");
+    holders.place = json_uint64(value, "place");
     holders.watched = json_span(value, "watched_us");
     for (const std::string& address : value["ended"].getMemberNames())
         holders.ended.push_back(
@@ -326,87 +326,87 @@
 } // namespace
 
 Json::Value
-to_json(const ExchangeQuestion& question)
+to_json(const ExchangeRequest& request)
 {
     Json::Value value;
-    value["instance"] = question.instance;
-    value["load"] = load_to_json(question.load);
-    value["kept_term"] = Json::UInt64(question.kept_term);
-    value["kept_place"] = Json::UInt64(question.kept_place);
-    value["weights"] = json_list(question.weights, age_to_json);
-    value["lost"] = json_list(question.lost, lost_to_json);
-    value["crashes"] = crashes_to_json(question.crashes);
-    value["limits"] = json_list(question.limits, limit_to_json);
-    value["leaving"] = json_list(question.leaving, leaving_to_json);
-    value["fetches"] = json_list(question.fetches, samples_to_json);
-    if (question.news_place)
-        value["news_place"] = Json::UInt64(*question.news_place);
+    value["instance"] = request.instance;
+    value["load"] = load_to_json(request.load);
+    value["kept_term"] = Json::UInt64(request.kept_term);
+    value["kept_place"] = Json::UInt64(request.kept_place);
+    value["weights"] = json_list(request.weights, age_to_json);
+    value["lost"] = json_list(request.lost, lost_to_json);
+    value["crashes"] = crashes_to_json(request.crashes);
+    value["limits"] = json_list(request.limits, limit_to_json);
+    value["leaving"] = json_list(request.leaving, leaving_to_json);
+    value["fetches"] = json_list(request.fetches, samples_to_json);
+    if (request.news_place)
+        value["news_place"] = Json::UInt64(*request.news_place);
     return value;
 }
 
-ExchangeQuestion
-exchange_question_from_json(const Json::Value& value)
+ExchangeRequest
+exchange_request_from_json(const Json::Value& value)
 {
-    ExchangeQuestion question;
-    question.instance = json_string(value, "instance");
-    question.load = load_from_json(value["load"]);
-    question.kept_term = json_number(value, "kept_term");
-    question.kept_place = json_number(value, "kept_place");
-    question.weights = list_from_json(value["weights"], age_from_json);
-    question.lost = list_from_json(value["lost"], lost_from_json);
-    question.crashes = crashes_from_json(value["crashes"]);
-    question.limits = list_from_json(value["limits"], limit_from_json);
-    question.leaving = list_from_json(value["leaving"], leaving_from_json);
-    question.fetches = list_from_json(value["fetches"], samples_from_json);
+    ExchangeRequest request;
+    request.instance = json_string(value, "instance");
+    request.load = load_from_json(value["load"]);
+    request.kept_term = json_uint64(value, "kept_term");
+    request.kept_place = json_uint64(value, "kept_place");
+    request.weights = list_from_json(value["weights"], age_from_json);
+    request.lost = list_from_json(value["lost"], lost_from_json);
+    request.crashes = crashes_from_json(value["crashes"]);
+    request.limits = list_from_json(value["limits"], limit_from_json);
+    request.leaving = list_from_json(value["leaving"], leaving_from_json);
+    request.fetches = list_from_json(value["fetches"], samples_from_json);
     if (value.isMember("news_place"))
-        question.news_place = json_number(value, "news_place");
-    return question;
+        request.news_place = json_uint64(value, "news_place");
+    return request;
 }
 
 Json::Value
-to_json(const ExchangeAnswer& answer)
+to_json(const ExchangeResponse& response)
 {
     Json::Value value;
-    value["others"] = load_to_json(answer.others);
-    value["loading"] = json_texts(answer.loading);
-    value["loaded"] = json_list(answer.loaded, loaded_to_json);
-    value["lost"] = json_list(answer.lost, lost_to_json);
-    value["crashes"] = crashes_to_json(answer.crashes);
-    value["limits"] = json_list(answer.limits, limit_to_json);
-    value["leaving"] = json_list(answer.leaving, leaving_to_json);
-    value["fetches"] = json_list(answer.fetches, lateness_to_json);
-    value["kept"] = update_to_json(answer.kept);
-    value["weights"] = json_list(answer.weights, age_to_json);
-    value["platform_reached"] = answer.platform_reached;
-    value["age_us"] = Json::Int64(answer.age.count());
-    value["load_age_us"] = Json::Int64(answer.load_age.count());
-    value["holders"] = holders_to_json(answer.holders);
-    value["news"] = to_json(answer.news);
-    value["news_age_us"] = Json::Int64(answer.news_age.count());
+    value["others"] = load_to_json(response.others);
+    value["loading"] = json_strings(response.loading);
+    value["loaded"] = json_list(response.loaded, loaded_to_json);
+    value["lost"] = json_list(response.lost, lost_to_json);
+    value["crashes"] = crashes_to_json(response.crashes);
+    value["limits"] = json_list(response.limits, limit_to_json);
+    value["leaving"] = json_list(response.leaving, leaving_to_json);
+    value["fetches"] = json_list(response.fetches, lateness_to_json);
+    value["kept"] = update_to_json(response.kept);
+    value["weights"] = json_list(response.weights, age_to_json);
+    value["platform_reached"] = response.platform_reached;
+    value["age_us"] = Json::Int64(response.age.count());
+    value["load_age_us"] = Json::Int64(response.load_age.count());
+    value["holders"] = holders_to_json(response.holders);
+    value["news"] = to_json(response.news);
+    value["news_age_us"] = Json::Int64(response.news_age.count());
     return value;
 }
 
-ExchangeAnswer
-exchange_answer_from_json(const Json::Value& value)
+ExchangeResponse
+exchange_response_from_json(const Json::Value& value)
 {
-    ExchangeAnswer answer;
-    answer.others = load_from_json(value["others"]);
-    answer.loading = texts_from_json(value["loading"]);
-    answer.loaded = list_from_json(value["loaded"], loaded_from_json);
-    answer.lost = list_from_json(value["lost"], lost_from_json);
-    answer.crashes = crashes_from_json(value["crashes"]);
-    answer.limits = list_from_json(value["limits"], limit_from_json);
-    answer.leaving = list_from_json(value["leaving"], leaving_from_json);
-    answer.fetches = list_from_json(value["fetches"], lateness_from_json);
-    answer.kept = update_from_json(value["kept"]);
-    answer.weights = list_from_json(value["weights"], age_from_json);
-    answer.platform_reached = json_flag(value, "platform_reached");
-    answer.age = json_span(value, "age_us");
-    answer.load_age = json_span(value, "load_age_us");
-    answer.holders = holders_from_json(value["holders"]);
-    answer.news = news_from_json(value["news"]);
-    answer.news_age = json_span(value, "news_age_us");
-    return answer;
+    ExchangeResponse response;
+    response.others = load_from_json(value["others"]);
+    response.loading = strings_from_json(value["loading"]);
+    response.loaded = list_from_json(value["loaded"], loaded_from_json);
+    response.lost = list_from_json(value["lost"], lost_from_json);
+    response.crashes = crashes_from_json(value["crashes"]);
+    response.limits = list_from_json(value["limits"], limit_from_json);
+    response.leaving = list_from_json(value["leaving"], leaving_from_json);
+    response.fetches = list_from_json(value["fetches"], lateness_from_json);
+    response.kept = update_from_json(value["kept"]);
+    response.weights = list_from_json(value["weights"], age_from_json);
+    response.platform_reached = json_bool(value, "platform_reached");
+    response.age = json_span(value, "age_us");
+    response.load_age = json_span(value, "load_age_us");
+    response.holders = holders_from_json(value["holders"]);
+    response.news = news_from_json(value["news"]);
+    response.news_age = json_span(value, "news_age_us");
+    return response;
 }
 
 } // namespace crosslink
--- a/src/serve/fleet/exchange_json.h
+++ b/src/serve/fleet/exchange_json.h
@@ -14,13 +14,13 @@
 // empty. Decoding throws Error(BadJson) for rows that lack a field.
 
 /// Encodes what an instance tells its parent.
-Json::Value to_json(const ExchangeQuestion& question);
+Json::Value to_json(const ExchangeRequest& request);
 /// Decodes it.
-ExchangeQuestion exchange_question_from_json(const Json::Value& value);
+ExchangeRequest exchange_request_from_json(const Json::Value& value);
 
 /// Encodes what it learns in return.
-Json::Value to_json(const ExchangeAnswer& answer);
+Json::Value to_json(const ExchangeResponse& response);
 /// Decodes it.
-ExchangeAnswer exchange_answer_from_json(const Json::Value& value);
+ExchangeResponse exchange_response_from_json(const Json::Value& value);
 
 } // namespace crosslink
--- a/src/serve/fleet/exchange_json_test.cpp
+++ b/src/serve/fleet/exchange_json_test.cpp
@@ -17,23 +17,23 @@
 namespace
 {
 
-ExchangeAnswer
+ExchangeResponse
 answer_with(std::vector<KeptEntry> entries)
 {
-    ExchangeAnswer answer;
-    answer.kept.ready = true;
-    answer.kept.term = 7;
-    answer.kept.entries = std::move(entries);
-    return answer;
+    ExchangeResponse response;
+    response.kept.ready = true;
+    response.kept.term = 7;
+    response.kept.entries = std::move(entries);
+    return response;
 }
 
 } // namespace
 
 TEST_CASE("an exchange brings the load and its memory")
 {
-    ExchangeAnswer answer;
-    answer.others["r1"] = {3, 9000, 41'000};
-    const auto read = exchange_answer_from_json(to_json(answer));
+    ExchangeResponse response;
+    response.others["r1"] = {3, 9000, 41'000};
+    const auto read = exchange_response_from_json(to_json(response));
     CHECK(read.others.at("r1").calls == 3);
     CHECK(read.others.at("r1").tokens == 9000);
     CHECK(read.others.at("r1").resident == 41'000);
@@ -41,46 +41,47 @@
 
 TEST_CASE("an exchange brings the runners that may start anew")
 {
-    const std::vector<LostContact> lost{{"r1", std::chrono::milliseconds(70)}};
-    ExchangeQuestion question;
-    question.lost = lost;
-    const auto asked = exchange_question_from_json(to_json(question));
+    const std::vector<ConnectionFailure> lost{
+        {"r1", std::chrono::milliseconds(70)}};
+    ExchangeRequest request;
+    request.lost = lost;
+    const auto asked = exchange_request_from_json(to_json(request));
     REQUIRE(asked.lost.size() == 1);
     CHECK(asked.lost[0].runner == "r1");
     CHECK(asked.lost[0].age == lost[0].age);
-    ExchangeAnswer answer;
-    answer.lost = lost;
-    answer.loaded = {{"r2", 77, "m", 3}};
-    const auto read = exchange_answer_from_json(to_json(answer));
+    ExchangeResponse response;
+    response.lost = lost;
+    response.loaded = {{"r2", 77, "m", 3}};
+    const auto read = exchange_response_from_json(to_json(response));
     REQUIRE(read.lost.size() == 1);
     CHECK(read.lost[0].age == lost[0].age);
     REQUIRE(read.loaded.size() == 1);
-    CHECK(read.loaded[0].born == 77);
+    CHECK(read.loaded[0].start_ms == 77);
 }
 
 TEST_CASE("an exchange brings which requests runners ended under")
 {
     const Micros since_end = std::chrono::milliseconds(40);
-    CrashNews news;
+    CrashUpdate news;
     news.broken = {{"digest-a", "r1", 7, false, since_end},
                    {"digest-b", "r1", 7, true, since_end},
                    {"digest-a", "r2", 0, true, std::chrono::seconds(1)}};
     news.answered = {{"digest-b", std::chrono::milliseconds(10)}};
     news.held = {{"digest-a", std::chrono::milliseconds(20)}};
-    ExchangeQuestion question;
-    question.crashes = news;
-    const auto asked = exchange_question_from_json(to_json(question)).crashes;
+    ExchangeRequest request;
+    request.crashes = news;
+    const auto asked = exchange_request_from_json(to_json(request)).crashes;
     REQUIRE(asked.broken.size() == 3);
     for (std::size_t i = 0; i < 3; ++i) {
         CHECK(asked.broken[i].request == news.broken[i].request);
         CHECK(asked.broken[i].runner == news.broken[i].runner);
-        CHECK(asked.broken[i].born == news.broken[i].born);
+        CHECK(asked.broken[i].start_ms == news.broken[i].start_ms);
         CHECK(asked.broken[i].again == news.broken[i].again);
         CHECK(asked.broken[i].since_end == news.broken[i].since_end);
     }
-    ExchangeAnswer answer;
-    answer.crashes = news;
-    const auto read = exchange_answer_from_json(to_json(answer)).crashes;
+    ExchangeResponse response;
+    response.crashes = news;
+    const auto read = exchange_response_from_json(to_json(response)).crashes;
     CHECK(read.broken.size() == 3);
     REQUIRE(read.answered.size() == 1);
     REQUIRE(read.held.size() == 1);
@@ -92,97 +93,97 @@
 
 TEST_CASE("an end without runner or age is refused")
 {
-    Json::Value value = to_json(ExchangeQuestion());
+    Json::Value value = to_json(ExchangeRequest());
     value["crashes"]["broken"].append(Json::Value(Json::arrayValue));
-    CHECK_THROWS_AS(exchange_question_from_json(value), Error);
+    CHECK_THROWS_AS(exchange_request_from_json(value), Error);
 }
 
 TEST_CASE("an exchange brings limits of runners, and their ends")
 {
-    ExchangeQuestion question;
-    question.limits = {{"r1", 7, 1.5, 3, 40}, {"r2", 0, no_rate_limit, 2, 9}};
-    const auto asked = exchange_question_from_json(to_json(question)).limits;
+    ExchangeRequest request;
+    request.limits = {{"r1", 7, 1.5, 3, 40}, {"r2", 0, no_rate_limit, 2, 9}};
+    const auto asked = exchange_request_from_json(to_json(request)).limits;
     REQUIRE(asked.size() == 2);
     for (std::size_t i = 0; i < 2; ++i) {
-        CHECK(asked[i].runner == question.limits[i].runner);
-        CHECK(asked[i].born == question.limits[i].born);
-        CHECK(asked[i].per_second == question.limits[i].per_second);
-        CHECK(asked[i].change == question.limits[i].change);
-        CHECK(asked[i].heard == question.limits[i].heard);
+        CHECK(asked[i].runner == request.limits[i].runner);
+        CHECK(asked[i].start_ms == request.limits[i].start_ms);
+        CHECK(asked[i].per_second == request.limits[i].per_second);
+        CHECK(asked[i].change == request.limits[i].change);
+        CHECK(asked[i].heard == request.limits[i].heard);
     }
-    ExchangeAnswer answer;
-    answer.limits = question.limits;
-    CHECK(exchange_answer_from_json(to_json(answer)).limits.size() == 2);
-    Json::Value value = to_json(question);
+    ExchangeResponse response;
+    response.limits = request.limits;
+    CHECK(exchange_response_from_json(to_json(response)).limits.size() == 2);
+    Json::Value value = to_json(request);
     value["limits"].append(Json::Value(Json::arrayValue));
-    CHECK_THROWS_AS(exchange_question_from_json(value), Error);
+    CHECK_THROWS_AS(exchange_request_from_json(value), Error);
 }
 
 TEST_CASE("an exchange brings how late stores are")
 {
-    ExchangeQuestion question;
-    question.fetches = {{{"a:1", "z"}, 3, 250}};
-    const auto asked = exchange_question_from_json(to_json(question));
+    ExchangeRequest request;
+    request.fetches = {{{"a:1", "z"}, 3, 250}};
+    const auto asked = exchange_request_from_json(to_json(request));
     REQUIRE(asked.fetches.size() == 1);
-    CHECK(asked.fetches[0].way == FetchWay{"a:1", "z"});
+    CHECK(asked.fetches[0].path == FetchPath{"a:1", "z"});
     CHECK(asked.fetches[0].calls == 3);
     CHECK(asked.fetches[0].late_ms == 250);
-    ExchangeAnswer answer;
-    answer.fetches = {{{"a:1", "z"}, -4, std::chrono::milliseconds(30)}};
-    const auto read = exchange_answer_from_json(to_json(answer));
+    ExchangeResponse response;
+    response.fetches = {{{"a:1", "z"}, -4, std::chrono::milliseconds(30)}};
+    const auto read = exchange_response_from_json(to_json(response));
     REQUIRE(read.fetches.size() == 1);
-    CHECK(read.fetches[0].way == FetchWay{"a:1", "z"});
+    CHECK(read.fetches[0].path == FetchPath{"a:1", "z"});
     CHECK(read.fetches[0].late_ms == -4);
     CHECK(read.fetches[0].age == std::chrono::milliseconds(30));
 }
 
 TEST_CASE("an exchange brings the news of the platform as they were written")
 {
-    ExchangeAnswer answer;
-    answer.age = std::chrono::milliseconds(120);
-    answer.news_age = std::chrono::milliseconds(340);
-    answer.load_age = std::chrono::milliseconds(90);
-    answer.kept.age = std::chrono::milliseconds(56);
-    answer.holders = {
+    ExchangeResponse response;
+    response.age = std::chrono::milliseconds(120);
+    response.news_age = std::chrono::milliseconds(340);
+    response.load_age = std::chrono::milliseconds(90);
+    response.kept.age = std::chrono::milliseconds(56);
+    response.holders = {
         8, std::chrono::seconds(9), {{"a:1", std::chrono::seconds(2)}}};
-    answer.news = {
+    response.news = {
         4, 9, false, {{"a", "{\"x\":\"\u00fc\"}", 5}, {"b", std::nullopt, 9}}};
-    const auto read = exchange_answer_from_json(to_json(answer));
-    CHECK(read.age == answer.age);
-    CHECK(read.news_age == answer.news_age);
-    CHECK(read.load_age == answer.load_age);
-    CHECK(read.kept.age == answer.kept.age);
+    const auto read = exchange_response_from_json(to_json(response));
+    CHECK(read.age == response.age);
+    CHECK(read.news_age == response.news_age);
+    CHECK(read.load_age == response.load_age);
+    CHECK(read.kept.age == response.kept.age);
     CHECK(read.holders.place == 8);
-    CHECK(read.holders.watched == answer.holders.watched);
+    CHECK(read.holders.watched == response.holders.watched);
     REQUIRE(read.holders.ended.size() == 1);
     CHECK(read.holders.ended[0].address == "a:1");
-    CHECK(read.holders.ended[0].ago == answer.holders.ended[0].ago);
+    CHECK(read.holders.ended[0].ago == response.holders.ended[0].ago);
     CHECK(read.news.since == 4);
-    CHECK(read.news.place == 9);
-    CHECK_FALSE(read.news.whole);
+    CHECK(read.news.revision == 9);
+    CHECK_FALSE(read.news.is_snapshot);
     REQUIRE(read.news.entries.size() == 2);
-    CHECK(read.news.entries[0].value == answer.news.entries[0].value);
+    CHECK(read.news.entries[0].value == response.news.entries[0].value);
     CHECK(read.news.entries[0].revision == 5);
     CHECK_FALSE(read.news.entries[1].value);
 }
 
 TEST_CASE("an exchange brings runners that said that they leave")
 {
-    ExchangeQuestion question;
-    question.leaving = {{"r1", 7}, {"r2", 0}};
-    const auto asked = exchange_question_from_json(to_json(question)).leaving;
+    ExchangeRequest request;
+    request.leaving = {{"r1", 7}, {"r2", 0}};
+    const auto asked = exchange_request_from_json(to_json(request)).leaving;
     REQUIRE(asked.size() == 2);
     CHECK(asked[0].runner == "r1");
-    CHECK(asked[0].born == 7);
-    ExchangeAnswer answer;
-    answer.leaving = question.leaving;
-    Json::Value value = to_json(answer);
-    CHECK(exchange_answer_from_json(value).leaving.size() == 2);
+    CHECK(asked[0].start_ms == 7);
+    ExchangeResponse response;
+    response.leaving = request.leaving;
+    Json::Value value = to_json(response);
+    CHECK(exchange_response_from_json(value).leaving.size() == 2);
     // An instance of an earlier version tells none.
     value.removeMember("leaving");
-    CHECK(exchange_answer_from_json(value).leaving.empty());
+    CHECK(exchange_response_from_json(value).leaving.empty());
     value["leaving"].append(Json::Value("r1"));
-    CHECK_THROWS_AS(exchange_answer_from_json(value), Error);
+    CHECK_THROWS_AS(exchange_response_from_json(value), Error);
 }
 
 TEST_CASE("news that are cut or of another build are a typed error")
@@ -204,19 +205,19 @@
 
 TEST_CASE("an instance that knows nothing asks for all news")
 {
-    ExchangeQuestion question;
-    CHECK_FALSE(exchange_question_from_json(to_json(question)).news_place);
-    question.news_place = 0;
-    CHECK(exchange_question_from_json(to_json(question)).news_place == 0);
+    ExchangeRequest request;
+    CHECK_FALSE(exchange_request_from_json(to_json(request)).news_place);
+    request.news_place = 0;
+    CHECK(exchange_request_from_json(to_json(request)).news_place == 0);
 }
 
 TEST_CASE("of several changes of a part the last one is told")
 {
-    const auto answer = answer_with({{"s", "a", "store"},
-                                     {"s", "b", "store"},
-                                     {"s", "a", ""},
-                                     {"t", "a", "other"}});
-    const auto read = exchange_answer_from_json(to_json(answer));
+    const auto response = answer_with({{"s", "a", "store"},
+                                       {"s", "b", "store"},
+                                       {"s", "a", ""},
+                                       {"t", "a", "other"}});
+    const auto read = exchange_response_from_json(to_json(response));
     REQUIRE(read.kept.entries.size() == 3);
     for (const KeptEntry& entry : read.kept.entries) {
         const bool first = entry.space == "s" && entry.id == "a";
--- a/src/serve/fleet/feed_duty.cpp
+++ b/src/serve/fleet/feed_duty.cpp
@@ -3,7 +3,7 @@
 
 #include "feed_duty.h"
 
-#include "fleet_calls.h"
+#include "fleet_rpc.h"
 
 #include <adapters/clock.h>
 #include <adapters/random.h>
@@ -54,7 +54,7 @@
 
 } // namespace
 
-FeedDuty::FeedDuty(ForwardState& state, NewsIntake& news)
+FeedDuty::FeedDuty(ForwardState& state, ChangeReceiver& news)
     : m_state(state), m_news(news),
       m_feed("feed", [this] { return feed_round(); }),
       m_presence("presence", [this] { return presence_round(); })
@@ -122,7 +122,7 @@
         m_news.told_by_platform(m_state.ports.feed.read(), asked);
         return;
     }
-    const NewsPage page = m_state.ports.feed.wait(*place, longest);
+    const ChangePage page = m_state.ports.feed.wait(*place, longest);
     // An answer that tells nothing was held back for the whole wait. Counted
     // from the question, the news were 0.4 s older than they are, and those
     // two exchanges away took them for late.
@@ -154,7 +154,7 @@
         try {
             const TimePoint asked = monotonic_now();
             const ToldNews told = FleetClient(address).news();
-            if (!told.page.whole)
+            if (!told.page.is_snapshot)
                 continue;
             m_news.told_by_instance(told.page, asked - told.age);
             LogLine("learned_from_instance").field("address", address);
--- a/src/serve/fleet/feed_duty.h
+++ b/src/serve/fleet/feed_duty.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include "news_intake.h"
+#include "change_receiver.h"
 
 #include <serve/duty.h>
 #include <serve/forward/forward_state.h>
@@ -20,7 +20,7 @@
 class FeedDuty
 {
 public:
-    FeedDuty(ForwardState& state, NewsIntake& news);
+    FeedDuty(ForwardState& state, ChangeReceiver& news);
 
 private:
     Micros feed_round();
@@ -31,7 +31,7 @@
     Micros presence_round();
 
     ForwardState& m_state;
-    NewsIntake& m_news;
+    ChangeReceiver& m_news;
     /// When this instance asks itself, since others do not tell it in time.
     std::optional<TimePoint> m_own_turn;
     bool m_lost = false; ///< The platform does not answer.
--- a/src/serve/fleet/fleet_json.cpp
+++ b/src/serve/fleet/fleet_json.cpp
@@ -26,14 +26,14 @@
 place_from_json(const Json::Value& value)
 {
     KeptPlace place;
-    const auto kind = json_number(value, "kind");
+    const auto kind = json_uint64(value, "kind");
     if (kind == static_cast<std::uint64_t>(KeptPlace::Kind::Fetch))
         place.kind = KeptPlace::Kind::Fetch;
     if (kind == static_cast<std::uint64_t>(KeptPlace::Kind::Save))
         place.kind = KeptPlace::Kind::Save;
     place.store = json_string(value, "store");
-    place.until = json_number(value, "until");
-    const auto reason = json_number(value, "reason");
+    place.until = json_uint64(value, "until");
+    const auto reason = json_uint64(value, "reason");
     if (reason <= static_cast<std::uint64_t>(KeptPlace::Reason::SlowStore))
         place.reason = static_cast<KeptPlace::Reason>(reason);
     return place;
@@ -51,13 +51,13 @@
 PromptPart
 part_from_json(const Json::Value& value)
 {
-    return {json_string(value, "id"), json_small_number(value, "tokens")};
+    return {json_string(value, "id"), json_uint32(value, "tokens")};
 }
 
 /// Values are text in the platform's own form; [KEY, REVISION] says that the
 /// key is gone.
 Json::Value
-entry_to_json(const NewsEntry& entry)
+entry_to_json(const KeyChange& entry)
 {
     Json::Value row(Json::arrayValue);
     row.append(entry.key);
@@ -67,14 +67,14 @@
     return row;
 }
 
-NewsEntry
+KeyChange
 news_entry_from_json(const Json::Value& row)
 {
     const bool has_value = row.isArray() && row.size() > 2;
     if (!row.isArray() || row.size() < 2 || !row[0].isString() ||
         !row[1].isUInt64() || (has_value && !row[2].isString()))
         throw Error(ErrorCode::BadJson, "a change without key or revision");
-    NewsEntry entry;
+    KeyChange entry;
     entry.key = row[0].asString();
     entry.revision = row[1].asUInt64();
     if (has_value)
@@ -85,23 +85,23 @@
 } // namespace
 
 Json::Value
-to_json(const NewsPage& page)
+to_json(const ChangePage& page)
 {
     Json::Value value;
     value["since"] = Json::UInt64(page.since);
-    value["place"] = Json::UInt64(page.place);
-    value["whole"] = page.whole;
+    value["place"] = Json::UInt64(page.revision);
+    value["whole"] = page.is_snapshot;
     value["entries"] = json_list(page.entries, entry_to_json);
     return value;
 }
 
-NewsPage
+ChangePage
 news_from_json(const Json::Value& value)
 {
-    NewsPage page;
-    page.since = json_number(value, "since");
-    page.place = json_number(value, "place");
-    page.whole = json_flag(value, "whole");
+    ChangePage page;
+    page.since = json_uint64(value, "since");
+    page.revision = json_uint64(value, "place");
+    page.is_snapshot = json_bool(value, "whole");
     page.entries = list_from_json(value["entries"], news_entry_from_json);
     return page;
 }
@@ -145,7 +145,7 @@
 {
     KeptAnswer answer;
     answer.space = json_string(value, "space");
-    answer.clock = json_number(value, "clock");
+    answer.clock = json_uint64(value, "clock");
     answer.places = list_from_json(value["places"], place_from_json);
     return answer;
 }
--- a/src/serve/fleet/fleet_json.h
+++ b/src/serve/fleet/fleet_json.h
@@ -7,7 +7,7 @@
 #include <crosslink/forward/forwarded_call.h>
 #include <crosslink/kept/kept_part.h>
 #include <crosslink/kept/kept_replica.h>
-#include <crosslink/membership/news_page.h>
+#include <crosslink/membership/change_page.h>
 
 #include <span>
 #include <string>
@@ -21,9 +21,9 @@
 // that is missing reads as 0, false or empty.
 
 /// Encodes changes of the platform's store.
-Json::Value to_json(const NewsPage& page);
+Json::Value to_json(const ChangePage& page);
 /// Decodes them. Throws Error(BadJson) where one has no key or no revision.
-NewsPage news_from_json(const Json::Value& value);
+ChangePage news_from_json(const Json::Value& value);
 
 /// Encodes the parts of a prompt, and the space that they belong to.
 Json::Value to_json(const std::string& space,
--- a/src/serve/fleet/fleet_calls.cpp
+++ b/src/serve/fleet/fleet_rpc.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include "fleet_calls.h"
+#include "fleet_rpc.h"
 
 #include "exchange_json.h"
 #include "fleet_json.h"
@@ -38,36 +38,37 @@
 
 } // namespace
 
-FleetServer::FleetServer(ForwardState& state, Steward& steward,
-                         ExchangeDesk& desk, NewsIntake& news)
+FleetServer::FleetServer(ForwardState& state, Coordinator& coordinator,
+                         ExchangeHandler& desk, ChangeReceiver& news)
     : m_rpc(std::make_unique<RpcServer>())
 {
-    m_rpc->add(ask_kept_method, [&steward](const Json::Value& parameters) {
+    m_rpc->add(ask_kept_method, [&coordinator](const Json::Value& parameters) {
         const auto parts = parts_from_json(parameters);
         const Micros longest = json_span(parameters, "longest_us");
-        return to_json(
-            steward.ask_kept(kept_space_from_json(parameters), parts, longest));
+        return to_json(coordinator.find_kept_parts(
+            kept_space_from_json(parameters), parts, longest));
     });
-    m_rpc->add(not_saved_method, [&steward](const Json::Value& parameters) {
-        steward.not_saved(json_string(parameters, "space"),
-                          parts_from_json(parameters));
+    m_rpc->add(not_saved_method, [&coordinator](const Json::Value& parameters) {
+        coordinator.cancel_saves(json_string(parameters, "space"),
+                                 parts_from_json(parameters));
         return Json::Value(Json::objectValue);
     });
-    m_rpc->add(stop_telling_method, [&steward](const Json::Value& parameters) {
-        Json::Value result;
-        result["silent"] =
-            steward.stop_telling(json_number(parameters, "token"),
-                                 json_string(parameters, "address"));
-        return result;
-    });
+    m_rpc->add(
+        stop_telling_method, [&coordinator](const Json::Value& parameters) {
+            Json::Value result;
+            result["silent"] =
+                coordinator.stop_answering(json_uint64(parameters, "token"),
+                                           json_string(parameters, "address"));
+            return result;
+        });
     m_rpc->add(holder_method, [&state](const Json::Value&) {
         Json::Value result;
         result["address"] = state.fleet.with(
-            [](FleetView& view) { return view.steward_address(); });
+            [](FleetView& view) { return view.coordinator_address(); });
         return result;
     });
     m_rpc->add(exchange_method, [&desk](const Json::Value& parameters) {
-        return to_json(desk.exchange(exchange_question_from_json(parameters)));
+        return to_json(desk.exchange(exchange_request_from_json(parameters)));
     });
     m_rpc->add(news_method, [&news](const Json::Value&) {
         Json::Value result;
@@ -118,8 +119,8 @@
 }
 
 KeptAnswer
-FleetClient::ask_kept(const KeptSpace& space, std::span<const PromptPart> parts,
-                      Micros longest)
+FleetClient::find_kept_parts(const KeptSpace& space,
+                             std::span<const PromptPart> parts, Micros longest)
 {
     Json::Value parameters = to_json(space.text(), parts);
     parameters["longest_us"] = Json::Int64(longest.count());
@@ -131,19 +132,19 @@
 }
 
 void
-FleetClient::not_saved(const std::string& space,
-                       std::span<const PromptPart> parts)
+FleetClient::cancel_saves(const std::string& space,
+                          std::span<const PromptPart> parts)
 {
     call(not_saved_method, to_json(space, parts), question_time);
 }
 
 bool
-FleetClient::stop_telling(std::uint64_t token, const std::string& address)
+FleetClient::stop_answering(std::uint64_t token, const std::string& address)
 {
     Json::Value parameters;
     parameters["token"] = Json::UInt64(token);
     parameters["address"] = address;
-    return json_flag(call(stop_telling_method, parameters, question_time),
+    return json_bool(call(stop_telling_method, parameters, question_time),
                      "silent");
 }
 
@@ -163,11 +164,11 @@
     return {news_from_json(answer["page"]), json_span(answer, "age_us")};
 }
 
-ExchangeAnswer
-FleetClient::exchange(const ExchangeQuestion& question)
+ExchangeResponse
+FleetClient::exchange(const ExchangeRequest& request)
 {
-    return exchange_answer_from_json(
-        call(exchange_method, to_json(question), large_answer_time));
+    return exchange_response_from_json(
+        call(exchange_method, to_json(request), large_answer_time));
 }
 
 } // namespace crosslink
--- a/src/serve/fleet/fleet_calls.h
+++ b/src/serve/fleet/fleet_rpc.h
@@ -3,12 +3,12 @@
 
 #pragma once
 
-#include "exchange_desk.h"
-#include "news_intake.h"
+#include "change_receiver.h"
+#include "exchange_handler.h"
 
 #include <adapters/http_client.h>
 #include <adapters/http_server.h>
-#include <serve/steward/steward.h>
+#include <serve/coordinator/coordinator.h>
 
 #include <memory>
 #include <span>
@@ -22,7 +22,7 @@
 /// What an instance knows of the platform's store, and how long ago the
 /// platform told that it is all.
 struct ToldNews {
-    NewsPage page;
+    ChangePage page;
     Micros age{0};
 };
 
@@ -30,8 +30,8 @@
 class FleetServer
 {
 public:
-    FleetServer(ForwardState& state, Steward& steward, ExchangeDesk& desk,
-                NewsIntake& news);
+    FleetServer(ForwardState& state, Coordinator& coordinator,
+                ExchangeHandler& desk, ChangeReceiver& news);
     ~FleetServer();
 
 private:
@@ -45,21 +45,23 @@
 public:
     explicit FleetClient(const std::string& address);
 
-    /// See Steward::ask_kept().
-    KeptAnswer ask_kept(const KeptSpace& space,
-                        std::span<const PromptPart> parts, Micros longest);
-    /// See Steward::not_saved().
-    void not_saved(const std::string& space, std::span<const PromptPart> parts);
-    /// See Steward::stop_telling().
-    bool stop_telling(std::uint64_t token, const std::string& address);
+    /// See Coordinator::find_kept_parts().
+    KeptAnswer find_kept_parts(const KeptSpace& space,
+                               std::span<const PromptPart> parts,
+                               Micros longest);
+    /// See Coordinator::cancel_saves().
+    void cancel_saves(const std::string& space,
+                      std::span<const PromptPart> parts);
+    /// See Coordinator::stop_answering().
+    bool stop_answering(std::uint64_t token, const std::string& address);
     /// Returns the address of the duty's holder as that instance knows it;
     /// empty for none.
     std::string holder();
     /// Returns all that this instance knows of the platform's store; a page
     /// that is not whole where it knows nothing.
     ToldNews news();
-    /// See ExchangeDesk::exchange().
-    ExchangeAnswer exchange(const ExchangeQuestion& question);
+    /// See ExchangeHandler::exchange().
+    ExchangeResponse exchange(const ExchangeRequest& request);
 
 private:
     Json::Value call(const char* method, const Json::Value& parameters,
--- a/src/serve/forward/answer_intake.cpp
+++ b/src/serve/forward/answer_intake.cpp
@@ -59,8 +59,8 @@
         names_none && (!head.genuine || runner.limit_change == 0);
     if (head.misdirected || is_no_end)
         return;
-    m_state.learned_limit(runner.incarnation(), *head.rate_limit,
-                          runner.limit_change);
+    m_state.note_runner_limit(runner.incarnation(), *head.rate_limit,
+                              runner.limit_change);
 }
 
 void
@@ -69,7 +69,7 @@
     if (!head.leaving)
         unreadable("leaving", runner);
     else if (*head.leaving && is_of(head, runner))
-        m_state.learned_leaving(runner.incarnation(), "answer");
+        m_state.note_runner_leaving(runner.incarnation(), "answer");
 }
 
 void
@@ -78,15 +78,16 @@
     if (!head.backoff)
         unreadable("backoff", runner);
     else if (head.backoff->count() > 0 && is_of(head, runner))
-        m_state.learned_backoff(runner.incarnation(), *head.backoff);
+        m_state.note_runner_backoff(runner.incarnation(), *head.backoff);
 }
 
 void
 AnswerIntake::take_weights(const AnswerHead& head, const RunnerPick& runner)
 {
     if (m_call.generation && head.version != 0)
-        m_state.learned_weights(runner.incarnation(), m_call.generation->model,
-                                head.version, "answer");
+        m_state.note_runner_weights(runner.incarnation(),
+                                    m_call.generation->model, head.version,
+                                    "answer");
 }
 
 /// A word that can't be read counts neither as said nor as taken back.
--- a/src/serve/forward/call_prompt.cpp
+++ b/src/serve/forward/call_prompt.cpp
@@ -48,9 +48,9 @@
         break;
     case Reason::BeingSaved:
         return 'b';
-    case Reason::LetGo:
+    case Reason::BeingFreed:
         return 'g';
-    case Reason::StoreAway:
+    case Reason::StoreUnreachable:
         return 'a';
     case Reason::NoRoom:
         return 'n';
@@ -110,9 +110,9 @@
     const KeptAnswer answer = m_kept.ask(space, parts, time_left);
     m_places = answer.places;
     m_space = answer.space;
-    m_state.fetches.with([&](FetchWatch& watch) {
-        watch.pass_over_slow(parts, m_places, m_zone, m_objective,
-                             random_bits(), monotonic_now());
+    m_state.fetches.with([&](FetchDelayTracker& watch) {
+        watch.skip_slow_stores(parts, m_places, m_zone, m_objective,
+                               random_bits(), monotonic_now());
     });
     terms.space = answer.space;
     terms.places = m_places;
@@ -180,9 +180,10 @@
     // shared parts.
     if (!fetches_all())
         return;
-    m_watched = FetchWay{store_of_largest(), m_zone};
-    m_state.fetches.with(
-        [this](FetchWatch& watch) { watch.sent(*m_watched, m_expected); });
+    m_watched = FetchPath{store_of_largest(), m_zone};
+    m_state.fetches.with([this](FetchDelayTracker& watch) {
+        watch.sent(*m_watched, m_expected);
+    });
 }
 
 void
@@ -191,7 +192,7 @@
     m_read = true;
     if (!m_watched)
         return;
-    m_state.fetches.with([this](FetchWatch& watch) {
+    m_state.fetches.with([this](FetchDelayTracker& watch) {
         watch.first_event(*m_watched, m_expected, monotonic_now());
     });
 }
@@ -201,8 +202,9 @@
 {
     if (m_read || !m_watched)
         return;
-    m_state.fetches.with(
-        [this](FetchWatch& watch) { watch.ended(*m_watched, m_expected); });
+    m_state.fetches.with([this](FetchDelayTracker& watch) {
+        watch.ended(*m_watched, m_expected);
+    });
 }
 
 void
--- a/src/serve/forward/call_prompt.h
+++ b/src/serve/forward/call_prompt.h
@@ -73,7 +73,7 @@
     std::vector<KeptPlace> m_places; ///< One for each shared part.
     std::string m_zone;              ///< Of the runner.
     /// Of the largest part, where the call tells of its store.
-    std::optional<FetchWay> m_watched;
+    std::optional<FetchPath> m_watched;
     std::uint64_t m_tokens_to_read = 0;
     TimePoint m_expected{}; ///< Of the first event, without its fetches.
     bool m_read = false;
--- a/src/serve/forward/crash_watch.cpp
+++ b/src/serve/forward/crash_watch.cpp
@@ -40,11 +40,12 @@
 CrashWatch::broken(const RunnerPick& runner)
 {
     const ProcessFate fate = fate_of(runner);
-    const bool known = broke({runner.id, runner.born, runner.address}, true);
+    const bool known =
+        broke({runner.id, runner.start_ms, runner.address}, true);
     if (fate == ProcessFate::Ended || known)
-        m_state.runner_ended(runner.incarnation(), "port");
+        m_state.note_runner_exit(runner.incarnation(), "port");
     else
-        m_state.break_added.nudge();
+        m_state.unresolved_failure_added.nudge();
     LogLine("runner_looked_at")
         .field("request", m_call.id)
         .field("digest", digest())
@@ -56,15 +57,15 @@
 void
 CrashWatch::failed(const RunnerPick& runner)
 {
-    if (broke({runner.id, runner.born, runner.address}, false))
-        m_state.runner_ended(runner.incarnation(), "port");
+    if (broke({runner.id, runner.start_ms, runner.address}, false))
+        m_state.note_runner_exit(runner.incarnation(), "port");
 }
 
 void
 CrashWatch::served(const RunnerPick& runner, TimePoint sent_at)
 {
     answered();
-    m_state.breaks.with([&](OpenBreaks& breaks) {
+    m_state.breaks.with([&](UnresolvedFailures& breaks) {
         if (!breaks.empty())
             breaks.lives(runner.incarnation(), sent_at);
     });
--- a/src/serve/forward/forward_end.cpp
+++ b/src/serve/forward/forward_end.cpp
@@ -63,15 +63,15 @@
 Micros
 ForwardRun::time_to_chance() const
 {
-    const auto chance = m_next_chance.earliest();
-    const Micros left = chance
-                            ? std::max(least_return, *chance - monotonic_now())
-                            : come_back_unknown;
+    const auto chance = m_next_available.earliest();
+    const Micros left =
+        chance ? std::max(min_retry_delay, *chance - monotonic_now())
+               : come_back_unknown;
     // Callers that are refused in a backoff, or for a limit, would all come
     // back at the same moment.
     const bool come_together =
-        m_next_chance.backoff_ends_at || m_next_chance.limited;
-    return come_together ? spread_return(left, random_bits()) : left;
+        m_next_available.backoff_ends_at || m_next_available.limited;
+    return come_together ? jittered_retry_delay(left, random_bits()) : left;
 }
 
 /// Returns when a caller should come back whose call was refused by the runners
@@ -81,9 +81,9 @@
 ForwardRun::time_after_refusals()
 {
     m_choice.pass_over_none();
-    m_next_chance = m_choice.next_chance();
-    const auto chance = m_next_chance.earliest();
-    return chance && *chance <= monotonic_now() ? least_return
+    m_next_available = m_choice.next_available();
+    const auto chance = m_next_available.earliest();
+    return chance && *chance <= monotonic_now() ? min_retry_delay
                                                 : time_to_chance();
 }
 
@@ -113,11 +113,12 @@
         throw Error(ErrorCode::UpstreamRefused, "runners have no room",
                     RunState::RefusedBeforeRun, time_after_refusals());
     default:
-        if (m_next_chance.limited)
+        if (m_next_available.limited)
             fail_limited();
         throw Error(ErrorCode::NoUpstream,
-                    m_next_chance.backoff_ends_at ? "runners asked to back off"
-                                                  : "no runner takes work",
+                    m_next_available.backoff_ends_at
+                        ? "runners asked to back off"
+                        : "no runner takes work",
                     RunState::NotDispatched, time_to_chance());
     }
 }
--- a/src/serve/forward/forward_instance.cpp
+++ b/src/serve/forward/forward_instance.cpp
@@ -32,15 +32,15 @@
 
 ForwardInstance::ForwardInstance(const ForwardSettings& settings,
                                  ForwardPorts ports)
-    : m_state(settings, ports), m_steward(m_state),
-      m_steward_link(m_state, m_steward), m_kept(m_state, m_steward_link),
-      m_path(m_state, m_kept), m_news(m_state, m_steward),
-      m_desk(m_state, m_steward, m_news),
-      m_fleet(m_state, m_steward, m_desk, m_news), m_feed(m_state, m_news),
-      m_exchange(m_state, m_steward, m_desk, m_news),
+    : m_state(settings, ports), m_coordinator(m_state),
+      m_coordinator_link(m_state, m_coordinator),
+      m_kept(m_state, m_coordinator_link), m_path(m_state, m_kept),
+      m_news(m_state, m_coordinator), m_desk(m_state, m_coordinator, m_news),
+      m_fleet(m_state, m_coordinator, m_desk, m_news), m_feed(m_state, m_news),
+      m_exchange(m_state, m_coordinator, m_desk, m_news),
       m_looks(
-          m_state.breaks, m_state.break_added,
-          [this](const PortToLookAt& port, PortLook look) {
+          m_state.breaks, m_state.unresolved_failure_added,
+          [this](const ProbeTarget& port, PortLook look) {
               looked(port, std::move(look));
           },
           [this] { m_state.settle_gone_runners(); }),
@@ -50,14 +50,14 @@
 
 /// Takes in what a look at the port of a runner found that broke calls off.
 void
-ForwardInstance::looked(const PortToLookAt& port, PortLook look)
+ForwardInstance::looked(const ProbeTarget& port, PortLook look)
 {
     if (look.connection)
         m_state.connections.put_back(port.address, std::move(look.connection),
                                      CallConnections::idle_untold,
                                      monotonic_now());
     else if (look.fate == ProcessFate::Ended)
-        m_state.runner_ended({port.runner, port.born}, "port");
+        m_state.note_runner_exit({port.runner, port.start_ms}, "port");
 }
 
 void
@@ -77,7 +77,7 @@
 {
     LogLine("stop_began").field("open", m_server.open_calls());
     m_state.stopping = true;
-    m_steward.give_up();
+    m_coordinator.give_up();
     const TimePoint began = monotonic_now();
     const TimePoint last =
         began +
--- a/src/serve/forward/forward_instance.h
+++ b/src/serve/forward/forward_instance.h
@@ -8,11 +8,11 @@
 #include "forward_state.h"
 #include "kept_asker.h"
 
+#include <serve/coordinator/coordinator.h>
 #include <serve/end_looks.h>
 #include <serve/fleet/exchange_duty.h>
 #include <serve/fleet/feed_duty.h>
-#include <serve/fleet/fleet_calls.h>
-#include <serve/steward/steward.h>
+#include <serve/fleet/fleet_rpc.h>
 
 #include <functional>
 
@@ -31,16 +31,16 @@
     void serve(const std::function<bool()>& stop_asked);
 
 private:
-    void looked(const PortToLookAt& port, PortLook look);
+    void looked(const ProbeTarget& port, PortLook look);
     void stop();
 
     ForwardState m_state;
-    Steward m_steward;
-    StewardLink m_steward_link;
+    Coordinator m_coordinator;
+    CoordinatorLink m_coordinator_link;
     KeptAsker m_kept;
     ForwardPath m_path;
-    NewsIntake m_news;
-    ExchangeDesk m_desk;
+    ChangeReceiver m_news;
+    ExchangeHandler m_desk;
     FleetServer m_fleet;
     FeedDuty m_feed;
     ExchangeDuty m_exchange;
--- a/src/serve/forward/forward_path.cpp
+++ b/src/serve/forward/forward_path.cpp
@@ -93,7 +93,7 @@
     const ServiceRoute* route = map->find_route(call.host, call.path());
     if (!route)
         throw Error(ErrorCode::UnknownPath, "no route");
-    const KeyHolder* holder = map->holder_of(call.api_key);
+    const AccountSettings* holder = map->find_account(call.api_key);
     if (!holder && map->needs_key && !route->open)
         throw Error(ErrorCode::UnknownKey, "no account has this key");
     ForwardRun run(m_state, m_kept, call, *route, holder);
--- a/src/serve/forward/forward_run.cpp
+++ b/src/serve/forward/forward_run.cpp
@@ -38,10 +38,10 @@
 
 ForwardRun::ForwardRun(ForwardState& state, KeptAsker& kept,
                        const ForwardedCall& call, const ServiceRoute& route,
-                       const KeyHolder* holder)
+                       const AccountSettings* holder)
     : m_state(state), m_call(call), m_route(route), m_holder(holder),
       m_deadline(call.received_at + std::min(call.time_allowed, route.timeout)),
-      m_events(leading_number<std::uint64_t>(call.last_event)),
+      m_events(parse_leading_integer<std::uint64_t>(call.last_event)),
       m_prompt(state, kept, call, route.objective),
       m_choice(state, m_prompt, call, route, holder),
       m_crashes(state, call, holder ? holder->name : std::string()),
@@ -133,10 +133,10 @@
         if (m_runs == 0)
             m_choice.pass_over_none();
         const TimePoint latest = latest_place();
-        m_next_chance = m_choice.keep_place(latest);
-        if (!m_next_chance.at || *m_next_chance.at >= latest)
+        m_next_available = m_choice.keep_place(latest);
+        if (!m_next_available.at || *m_next_available.at >= latest)
             return false;
-        const Micros wait = *m_next_chance.at - monotonic_now();
+        const Micros wait = *m_next_available.at - monotonic_now();
         std::this_thread::sleep_for(std::max(wait, wait_step));
         if (m_choice.choose_kept())
             return true;
@@ -238,7 +238,7 @@
     const bool silent =
         dynamic_cast<const Poco::TimeoutException*>(&failure) != nullptr;
     m_state.runners.with([&](RunnerTable& table) {
-        table.contact_lost(m_choice.pick().id, monotonic_now());
+        table.connection_failed(m_choice.pick().id, monotonic_now());
         if (silent)
             table.silent(m_choice.pick().id, monotonic_now());
     });
@@ -315,8 +315,8 @@
         case Outcome::Misdirected:
             table.refused(runner, now, refusal_hold);
             if (m_call.generation)
-                table.lacks_version(runner, m_call.generation->model,
-                                    m_choice.pick().version);
+                table.discard_version(runner, m_call.generation->model,
+                                      m_choice.pick().version);
             break;
         case Outcome::NotSent:
         case Outcome::Broken:
--- a/src/serve/forward/forward_run.h
+++ b/src/serve/forward/forward_run.h
@@ -35,7 +35,7 @@
 public:
     /// All of them outlive it. `holder` is null on open routes.
     ForwardRun(ForwardState& state, KeptAsker& kept, const ForwardedCall& call,
-               const ServiceRoute& route, const KeyHolder* holder);
+               const ServiceRoute& route, const AccountSettings* holder);
     ~ForwardRun();
 
     /// Returns once the answer is out or the caller went away. Throws Error
@@ -124,7 +124,7 @@
     ForwardState& m_state;
     const ForwardedCall& m_call;
     const ServiceRoute& m_route;
-    const KeyHolder* m_holder;
+    const AccountSettings* m_holder;
     const TimePoint m_deadline;
     EventTracker m_events;
     CallPrompt m_prompt;
@@ -136,7 +136,7 @@
     TimePoint m_connected_at{}; ///< When it was taken or made.
     /// When a kept connection counts as silent; nothing once it has answered.
     std::optional<TimePoint> m_silent_at;
-    NextChance m_next_chance; ///< As of the last look for a runner.
+    NextAvailability m_next_available; ///< As of the last look for a runner.
     std::uint32_t m_sends = 0;
     std::uint32_t m_runs = 0; ///< Sends that may have run.
     /// A runner's failure that goes to the caller where no repeat does better.
--- a/src/serve/forward/forward_settings.cpp
+++ b/src/serve/forward/forward_settings.cpp
@@ -109,10 +109,11 @@
 {
     if (of_route.empty() && of_account.empty())
         return std::nullopt;
-    const auto names = [](const std::vector<std::string>& homes,
+    const auto names = [](const std::vector<std::string>& allowed_regions,
                           std::string_view region) {
-        return homes.empty() ||
-               std::find(homes.begin(), homes.end(), region) != homes.end();
+        return allowed_regions.empty() ||
+               std::find(allowed_regions.begin(), allowed_regions.end(),
+                         region) != allowed_regions.end();
     };
     ZoneSet zones;
     for (const std::string& item : zone_regions) {
--- a/src/serve/forward/forward_state.cpp
+++ b/src/serve/forward/forward_state.cpp
@@ -4,7 +4,7 @@
 #include "forward_state.h"
 
 #include <adapters/clock.h>
-#include <serve/fleet/change_taker.h>
+#include <serve/fleet/change_applier.h>
 
 #include <algorithm>
 #include <span>
@@ -46,8 +46,8 @@
                            ForwardPorts ports_in)
     : settings(settings_in), ports(ports_in),
       fleet(settings_in.order_spacing()), retries(settings_in.retry_rules()),
-      steward_lease(DutyLease::settle_time(settings_in.order_spacing(),
-                                           settings_in.lease())),
+      coordinator_lease(DutyLease::takeover_delay(settings_in.order_spacing(),
+                                                  settings_in.lease())),
       started_at(monotonic_now())
 {
 }
@@ -74,7 +74,7 @@
         const WeightsHistory& history = found->second;
         return WeightsChoice{
             history.newest(),
-            history.least(settings.sending_bound(), now, view.reach)};
+            history.minimum_version(settings.sending_bound(), now, view.reach)};
     });
 }
 
@@ -89,7 +89,7 @@
         const auto replaced = found->second.replaced_at(version);
         if (!replaced)
             return std::nullopt;
-        return view.reach.counted(*replaced, now);
+        return view.reach.available_time(*replaced, now);
     });
 }
 
@@ -113,7 +113,8 @@
 }
 
 void
-ForwardState::heard_of(const std::vector<WeightsAge>& weights, TimePoint now)
+ForwardState::merge_peer_report(const std::vector<WeightsAge>& weights,
+                                TimePoint now)
 {
     fleet.with([&](FleetView& view) {
         for (const WeightsAge& item : weights) {
@@ -124,13 +125,13 @@
     });
 }
 
-std::vector<LostContact>
+std::vector<ConnectionFailure>
 ForwardState::lost_contacts(TimePoint now)
 {
     const auto lost = runners.with([now](RunnerTable& table) {
-        return table.contacts_lost(now - lost_contact_told);
+        return table.connection_failures(now - lost_contact_told);
     });
-    std::vector<LostContact> result;
+    std::vector<ConnectionFailure> result;
     result.reserve(lost.size());
     for (const auto& [runner, at] : lost)
         result.push_back({runner, now - at});
@@ -138,11 +139,12 @@
 }
 
 void
-ForwardState::heard_of(const std::vector<LostContact>& lost, TimePoint now)
+ForwardState::merge_peer_report(const std::vector<ConnectionFailure>& lost,
+                                TimePoint now)
 {
     runners.with([&](RunnerTable& table) {
-        for (const LostContact& item : lost)
-            table.contact_lost(item.runner, now - item.age);
+        for (const ConnectionFailure& item : lost)
+            table.connection_failed(item.runner, now - item.age);
     });
 }
 
@@ -157,14 +159,14 @@
 bool
 ForwardState::has_duty()
 {
-    return steward_lease.with(
+    return coordinator_lease.with(
         [](DutyLease& lease) { return lease.held(monotonic_now()); });
 }
 
 bool
 ForwardState::may_tell_kept(TimePoint now)
 {
-    return steward_lease.with([now](DutyLease& lease) {
+    return coordinator_lease.with([now](DutyLease& lease) {
         return lease.held_within(kept_grace_time, now);
     });
 }
@@ -172,7 +174,7 @@
 Micros
 ForwardState::duty_time_left()
 {
-    return steward_lease.with(
+    return coordinator_lease.with(
         [](DutyLease& lease) { return lease.time_left(monotonic_now()); });
 }
 
@@ -185,7 +187,7 @@
 std::optional<std::uint64_t>
 ForwardState::acting_token()
 {
-    return steward_lease.with(
+    return coordinator_lease.with(
         [](DutyLease& lease) -> std::optional<std::uint64_t> {
             if (lease.time_left(monotonic_now()) <= act_time)
                 return std::nullopt;
@@ -208,11 +210,11 @@
 }
 
 void
-ForwardState::take(const std::vector<FleetChange>& changes, bool whole,
-                   std::optional<TimePoint> lapsed_until)
+ForwardState::apply_changes(const std::vector<FleetChange>& changes, bool whole,
+                            std::optional<TimePoint> lapsed_until)
 {
     runners.with([](RunnerTable& table) { table.expire(monotonic_now()); });
-    ChangeTaker taker(*this, whole, lapsed_until);
+    ChangeApplier taker(*this, whole, lapsed_until);
     for (const FleetChange& change : changes)
         std::visit(taker, change);
     taker.finish();
@@ -222,11 +224,11 @@
         learned.notify();
 }
 
-TreePlace
-ForwardState::tree_place()
+TreePosition
+ForwardState::tree_position()
 {
     const std::pair now = fleet.with([](const FleetView& view) {
-        return std::pair(view.instances_version, view.steward_address());
+        return std::pair(view.instances_version, view.coordinator_address());
     });
     const std::uint64_t version = now.first;
     const std::string& holder = now.second;
--- a/src/serve/forward/forward_state.h
+++ b/src/serve/forward/forward_state.h
@@ -15,18 +15,18 @@
 #include <serve/nudger.h>
 
 #include <crosslink/base/time.h>
-#include <crosslink/forward/account_turns.h>
 #include <crosslink/forward/crash_history.h>
-#include <crosslink/forward/open_breaks.h>
+#include <crosslink/forward/fair_share_tracker.h>
 #include <crosslink/forward/retry_window.h>
 #include <crosslink/forward/runner_table.h>
 #include <crosslink/forward/service_map.h>
-#include <crosslink/kept/fetch_watch.h>
+#include <crosslink/forward/unresolved_failures.h>
+#include <crosslink/kept/fetch_delay_tracker.h>
 #include <crosslink/kept/kept_replica.h>
 #include <crosslink/membership/duty_lease.h>
 #include <crosslink/membership/fleet_tree.h>
 #include <crosslink/membership/holder_history.h>
-#include <crosslink/membership/platform_reach.h>
+#include <crosslink/membership/platform_availability.h>
 #include <crosslink/ports/fleet_feed.h>
 #include <crosslink/weights/rollout_record.h>
 #include <crosslink/weights/weights_history.h>
@@ -55,21 +55,22 @@
     std::map<std::string, RolloutRecord, std::less<>> rollouts;
     std::map<std::string, InstanceInfo, std::less<>> instances; ///< By name.
     std::uint64_t instances_version = 0; ///< Grows with each change of them.
-    std::string steward;   ///< Peer address of the duty's holder; or empty.
-    HolderHistory holders; ///< Of the duty.
-    PlatformReach reach;
+    std::string coordinator; ///< Peer address of the duty's holder; or empty.
+    HolderHistory holders;   ///< Of the duty.
+    PlatformAvailability reach;
     /// As another instance told it since; empty for none.
-    std::string told_steward;
+    std::string peer_reported_coordinator;
 
     /// Returns where questions for the duty's holder go; empty for nowhere.
-    const std::string& steward_address() const
+    const std::string& coordinator_address() const
     {
-        return told_steward.empty() ? steward : told_steward;
+        return peer_reported_coordinator.empty() ? coordinator
+                                                 : peer_reported_coordinator;
     }
 };
 
 /// Where an instance stands in the fleet's tree.
-struct TreePlace {
+struct TreePosition {
     bool is_parent = false;           ///< Others ask it, though it has no duty.
     std::vector<std::string> parents; ///< See FleetTree::parents().
 };
@@ -122,13 +123,14 @@
     Guarded<FleetView> fleet;
     Guarded<RunnerTable> runners;
     Guarded<RetryWindow> retries;
-    Guarded<AccountTurns> turns; ///< At runners that named limits.
+    Guarded<FairShareTracker> turns; ///< At runners that named limits.
     Guarded<CrashHistory> crashes;
-    Guarded<OpenBreaks> breaks;
-    Nudger break_added; ///< Reaches the looks at ports, while they run.
-    Guarded<FetchWatch> fetches;
+    Guarded<UnresolvedFailures> breaks;
+    Nudger unresolved_failure_added; ///< Reaches the looks at ports, while they
+                                     ///< run.
+    Guarded<FetchDelayTracker> fetches;
     Guarded<KeptReplica> kept;
-    Guarded<DutyLease> steward_lease;
+    Guarded<DutyLease> coordinator_lease;
     CallConnections connections;
     /// What the map in force lets callers take.
     const std::shared_ptr<ConnectionTimes> caller_times =
@@ -154,50 +156,54 @@
     /// each model, those that calls may still run on.
     std::vector<WeightsAge> weights_ages(TimePoint now);
     /// Takes in when another instance heard of weights, as of `now`.
-    void heard_of(const std::vector<WeightsAge>& weights, TimePoint now);
+    void merge_peer_report(const std::vector<WeightsAge>& weights,
+                           TimePoint now);
     /// Returns the runners that may start anew, as far as is known lately.
-    std::vector<LostContact> lost_contacts(TimePoint now);
+    std::vector<ConnectionFailure> lost_contacts(TimePoint now);
     /// Takes in which runners may start anew, as others told at `now`.
-    void heard_of(const std::vector<LostContact>& lost, TimePoint now);
+    void merge_peer_report(const std::vector<ConnectionFailure>& lost,
+                           TimePoint now);
     /// Logs and counts the requests that are blocked now and were not before.
     void note_blocked();
     /// Takes in that a runner's process ended, as `evidence` shows: the calls
     /// that broke there count. One that said that it leaves ends as planned.
-    void runner_ended(const RunnerIncarnation& runner, const char* evidence);
+    void note_runner_exit(const RunnerIncarnation& runner,
+                          const char* evidence);
     /// Takes in that `runner` is listed: other processes that were at its
     /// address have ended. One that leaves ends as planned.
-    void runner_replaced(const ListedRunner& runner);
+    void note_runner_replaced(const ListedRunner& runner);
     /// Takes in which runners of late went from the list by themselves.
     void settle_gone_runners();
     /// Takes in what another instance told at `as_of` of calls under which
     /// runners ended.
-    void heard_of(const CrashNews& news, TimePoint as_of);
+    void merge_peer_report(const CrashUpdate& news, TimePoint as_of);
     /// Returns what to tell other instances of such calls.
-    CrashNews crash_news(TimePoint now);
+    CrashUpdate crash_updates(TimePoint now);
     /// Takes in what an answer of a runner names as its limit, where its call
     /// was sent when `known` changes of that were known, and logs a change.
-    void learned_limit(const RunnerIncarnation& runner, double per_second,
-                       std::uint64_t known);
+    void note_runner_limit(const RunnerIncarnation& runner, double per_second,
+                           std::uint64_t known);
     /// Takes in what another instance told of runners' limits.
-    void heard_of(const std::vector<LimitNews>& limits);
+    void merge_peer_report(const std::vector<LimitUpdate>& limits);
     /// Returns what to tell other instances of them.
-    std::vector<LimitNews> limit_news(TimePoint now);
+    std::vector<LimitUpdate> limit_updates(TimePoint now);
     /// Takes in that a runner says that it leaves, as `source` told, and logs
     /// it where that was not known.
-    void learned_leaving(const RunnerIncarnation& runner, const char* source);
+    void note_runner_leaving(const RunnerIncarnation& runner,
+                             const char* source);
     /// Takes in which runners told other instances that they leave.
-    void heard_of(const std::vector<LeavingNews>& leaving);
+    void merge_peer_report(const std::vector<LeavingUpdate>& leaving);
     /// Returns what to tell other instances of them.
-    std::vector<LeavingNews> leaving_news();
+    std::vector<LeavingUpdate> leaving_updates();
     /// Takes in that a runner wants nothing from this instance for `backoff`.
-    void learned_backoff(const RunnerIncarnation& runner, Micros backoff);
+    void note_runner_backoff(const RunnerIncarnation& runner, Micros backoff);
     /// Takes in that a request is recorded as blocked, or no longer.
-    void recorded_block(const std::string& request, bool is_blocked);
+    void note_block_record(const std::string& request, bool is_blocked);
     /// Takes in that a runner has `version` of `model`, as `source` told, and
     /// logs it where it was not known before.
-    void learned_weights(const RunnerIncarnation& runner,
-                         std::string_view model, std::uint64_t version,
-                         const char* source);
+    void note_runner_weights(const RunnerIncarnation& runner,
+                             std::string_view model, std::uint64_t version,
+                             const char* source);
     /// Returns the number of instances of the fleet, at least 1.
     std::size_t instance_count();
     /// True where this instance has the duty now.
@@ -221,14 +227,14 @@
     /// gone. With `lapsed_until`, the platform was
     /// away until a moment ago: runners that are not listed any more may be
     /// well, and count as gone only from then on.
-    void take(const std::vector<FleetChange>& changes, bool whole,
-              std::optional<TimePoint> lapsed_until);
+    void apply_changes(const std::vector<FleetChange>& changes, bool whole,
+                       std::optional<TimePoint> lapsed_until);
     /// Returns where this instance stands among those that ask each other for
     /// news and load now.
-    TreePlace tree_place();
+    TreePosition tree_position();
     /// Returns whether other instances are to ask this one for news and load,
     /// though it has no duty.
-    bool is_parent() { return tree_place().is_parent; }
+    bool is_parent() { return tree_position().is_parent; }
 
 private:
     /// The last place, with what it was worked out from: that takes a sort of
@@ -236,10 +242,11 @@
     struct KnownPlace {
         std::optional<std::uint64_t> instances_version;
         std::string holder;
-        TreePlace place;
+        TreePosition place;
     };
 
-    void count_ends(const std::vector<BrokenCall>& calls, const char* evidence);
+    void count_ends(const std::vector<InterruptedCall>& calls,
+                    const char* evidence);
     void note_limit(std::string_view runner, double per_second,
                     const char* source);
 
--- a/src/serve/forward/forward_state_ends.cpp
+++ b/src/serve/forward/forward_state_ends.cpp
@@ -13,7 +13,7 @@
 {
 
 void
-ForwardState::heard_of(const CrashNews& news, TimePoint as_of)
+ForwardState::merge_peer_report(const CrashUpdate& news, TimePoint as_of)
 {
     if (news.empty())
         return;
@@ -24,28 +24,28 @@
 }
 
 void
-ForwardState::runner_ended(const RunnerIncarnation& runner,
-                           const char* evidence)
+ForwardState::note_runner_exit(const RunnerIncarnation& runner,
+                               const char* evidence)
 {
     const bool leaves = runners.with([&](const RunnerTable& table) {
         const auto found = table.entries().find(runner.id);
         return found != table.entries().end() &&
-               found->second.listed.born == runner.born &&
+               found->second.listed.start_ms == runner.start_ms &&
                found->second.leaves();
     });
     if (leaves)
         return;
-    count_ends(breaks.with([&](OpenBreaks& open) {
+    count_ends(breaks.with([&](UnresolvedFailures& open) {
         return open.ended(runner, monotonic_now());
     }),
                evidence);
 }
 
 void
-ForwardState::runner_replaced(const ListedRunner& runner)
+ForwardState::note_runner_replaced(const ListedRunner& runner)
 {
-    const RunnerIncarnation incarnation{runner.id, runner.born};
-    count_ends(breaks.with([&](OpenBreaks& open) {
+    const RunnerIncarnation incarnation{runner.id, runner.start_ms};
+    count_ends(breaks.with([&](UnresolvedFailures& open) {
         if (runner.leaving)
             open.leaves(incarnation);
         return open.replaced_at(runner.address, incarnation, monotonic_now());
@@ -56,7 +56,7 @@
 void
 ForwardState::settle_gone_runners()
 {
-    count_ends(breaks.with([](OpenBreaks& open) {
+    count_ends(breaks.with([](UnresolvedFailures& open) {
         return open.take_gone(monotonic_now());
     }),
                "gone");
@@ -65,13 +65,13 @@
 /// Counts calls under which a runner ended, and logs those of them that were
 /// not known before.
 void
-ForwardState::count_ends(const std::vector<BrokenCall>& calls,
+ForwardState::count_ends(const std::vector<InterruptedCall>& calls,
                          const char* evidence)
 {
     if (calls.empty())
         return;
     counters.runner_ends += take_ends(crashes, calls);
-    for (const BrokenCall& call : calls)
+    for (const InterruptedCall& call : calls)
         LogLine("runner_ended")
             .field("runner", call.runner)
             .field("digest", call.request)
@@ -81,15 +81,15 @@
     note_blocked();
 }
 
-CrashNews
-ForwardState::crash_news(TimePoint now)
+CrashUpdate
+ForwardState::crash_updates(TimePoint now)
 {
     return crashes.with(
         [now](const CrashHistory& history) { return history.news(now); });
 }
 
 void
-ForwardState::recorded_block(const std::string& request, bool is_blocked)
+ForwardState::note_block_record(const std::string& request, bool is_blocked)
 {
     crashes.with([&](CrashHistory& history) {
         if (is_blocked)
--- a/src/serve/forward/forward_state_words.cpp
+++ b/src/serve/forward/forward_state_words.cpp
@@ -14,12 +14,12 @@
 {
 
 void
-ForwardState::learned_weights(const RunnerIncarnation& runner,
-                              std::string_view model, std::uint64_t version,
-                              const char* source)
+ForwardState::note_runner_weights(const RunnerIncarnation& runner,
+                                  std::string_view model, std::uint64_t version,
+                                  const char* source)
 {
     const bool changed = runners.with([&](RunnerTable& table) {
-        return table.has_version(runner, model, version);
+        return table.record_version(runner, model, version);
     });
     if (changed)
         LogLine("runner_weights")
@@ -29,8 +29,8 @@
 }
 
 void
-ForwardState::learned_limit(const RunnerIncarnation& runner, double per_second,
-                            std::uint64_t known)
+ForwardState::note_runner_limit(const RunnerIncarnation& runner,
+                                double per_second, std::uint64_t known)
 {
     const bool changed = runners.with([&](RunnerTable& table) {
         return table.limit_answered(runner, per_second, known, monotonic_now());
@@ -40,9 +40,9 @@
 }
 
 void
-ForwardState::heard_of(const std::vector<LimitNews>& limits)
+ForwardState::merge_peer_report(const std::vector<LimitUpdate>& limits)
 {
-    for (const LimitNews& news : limits) {
+    for (const LimitUpdate& news : limits) {
         const bool changed = runners.with([&](RunnerTable& table) {
             return table.limit_told(news, monotonic_now());
         });
@@ -51,23 +51,23 @@
     }
 }
 
-std::vector<LimitNews>
-ForwardState::limit_news(TimePoint now)
+std::vector<LimitUpdate>
+ForwardState::limit_updates(TimePoint now)
 {
     return runners.with(
-        [now](RunnerTable& table) { return table.limit_news(now); });
+        [now](RunnerTable& table) { return table.limit_updates(now); });
 }
 
 void
-ForwardState::learned_leaving(const RunnerIncarnation& runner,
-                              const char* source)
+ForwardState::note_runner_leaving(const RunnerIncarnation& runner,
+                                  const char* source)
 {
     const bool is_new = runners.with([&](RunnerTable& table) {
-        return table.says_leaving(runner, monotonic_now());
+        return table.set_leaving(runner, monotonic_now());
     });
     if (!is_new)
         return;
-    breaks.with([&](OpenBreaks& open) { open.leaves(runner); });
+    breaks.with([&](UnresolvedFailures& open) { open.leaves(runner); });
     ++counters.runners_leaving;
     LogLine("runner_leaving")
         .field("runner", runner.id)
@@ -75,27 +75,27 @@
 }
 
 void
-ForwardState::heard_of(const std::vector<LeavingNews>& leaving)
+ForwardState::merge_peer_report(const std::vector<LeavingUpdate>& leaving)
 {
-    for (const LeavingNews& news : leaving)
-        learned_leaving({news.runner, news.born}, "instance");
+    for (const LeavingUpdate& news : leaving)
+        note_runner_leaving({news.runner, news.start_ms}, "instance");
 }
 
-std::vector<LeavingNews>
-ForwardState::leaving_news()
+std::vector<LeavingUpdate>
+ForwardState::leaving_updates()
 {
     return runners.with(
-        [](const RunnerTable& table) { return table.leaving_news(); });
+        [](const RunnerTable& table) { return table.leaving_updates(); });
 }
 
 void
-ForwardState::learned_backoff(const RunnerIncarnation& runner, Micros backoff)
+ForwardState::note_runner_backoff(const RunnerIncarnation& runner,
+                                  Micros backoff)
 {
     const TimePoint now = monotonic_now();
     const TimePoint until = backoff_end(backoff, now, random_bits());
-    runners.with([&](RunnerTable& table) {
-        table.asks_for_backoff(runner, until, now);
-    });
+    runners.with(
+        [&](RunnerTable& table) { table.set_backoff(runner, until, now); });
     ++counters.runner_backoffs;
     LogLine("runner_backs_off")
         .field("runner", runner.id)
--- a/src/serve/forward/kept_asker.cpp
+++ b/src/serve/forward/kept_asker.cpp
@@ -22,8 +22,8 @@
 
 } // namespace
 
-KeptAsker::KeptAsker(ForwardState& state, StewardLink& steward)
-    : m_state(state), m_steward(steward)
+KeptAsker::KeptAsker(ForwardState& state, CoordinatorLink& coordinator)
+    : m_state(state), m_coordinator(coordinator)
 {
 }
 
@@ -40,7 +40,7 @@
     if (auto answer = find(false))
         return *answer;
     if (now >= m_ask_again.load())
-        if (auto answer = ask_steward(space, parts, longest, now))
+        if (auto answer = ask_coordinator(space, parts, longest, now))
             return *answer;
     if (auto answer = find(true))
         return *answer;
@@ -60,13 +60,13 @@
 }
 
 std::optional<KeptAnswer>
-KeptAsker::ask_steward(const KeptSpace& space,
-                       std::span<const PromptPart> parts, Micros longest,
-                       TimePoint asked)
+KeptAsker::ask_coordinator(const KeptSpace& space,
+                           std::span<const PromptPart> parts, Micros longest,
+                           TimePoint asked)
 {
     try {
-        KeptAnswer answer = m_steward.with([&](auto& steward) {
-            return steward.ask_kept(space, parts, longest);
+        KeptAnswer answer = m_coordinator.with([&](auto& coordinator) {
+            return coordinator.find_kept_parts(space, parts, longest);
         });
         m_state.counters.kept_question.add(monotonic_now() - asked);
         return answer;
@@ -89,8 +89,9 @@
     if (unsaved.empty())
         return;
     try {
-        m_steward.with(
-            [&](auto& steward) { steward.not_saved(space, unsaved); });
+        m_coordinator.with([&](auto& coordinator) {
+            coordinator.cancel_saves(space, unsaved);
+        });
     } catch (const Error& failure) {
         // The directory learns of it when the save is overdue.
         LogLine("kept_return_failed").field("error", failure.what());
--- a/src/serve/forward/kept_asker.h
+++ b/src/serve/forward/kept_asker.h
@@ -5,7 +5,7 @@
 
 #include "forward_state.h"
 
-#include <serve/steward/steward_link.h>
+#include <serve/coordinator/coordinator_link.h>
 
 #include <atomic>
 #include <optional>
@@ -22,7 +22,7 @@
 class KeptAsker
 {
 public:
-    KeptAsker(ForwardState& state, StewardLink& steward);
+    KeptAsker(ForwardState& state, CoordinatorLink& coordinator);
 
     /// Returns a place for each of `parts` of a prompt, for a call that ends
     /// within `longest`. Where nobody can be asked, all are None.
@@ -37,12 +37,12 @@
                    std::span<const KeptPlace> places);
 
 private:
-    std::optional<KeptAnswer> ask_steward(const KeptSpace& space,
-                                          std::span<const PromptPart> parts,
-                                          Micros longest, TimePoint asked);
+    std::optional<KeptAnswer> ask_coordinator(const KeptSpace& space,
+                                              std::span<const PromptPart> parts,
+                                              Micros longest, TimePoint asked);
 
     ForwardState& m_state;
-    StewardLink& m_steward;
+    CoordinatorLink& m_coordinator;
     /// Nobody is asked before.
     std::atomic<TimePoint> m_ask_again{TimePoint{}};
 };
--- a/src/serve/forward/runner_choice.cpp
+++ b/src/serve/forward/runner_choice.cpp
@@ -34,12 +34,13 @@
 
 RunnerChoice::RunnerChoice(ForwardState& state, CallPrompt& prompt,
                            const ForwardedCall& call, const ServiceRoute& route,
-                           const KeyHolder* holder)
+                           const AccountSettings* holder)
     : m_state(state), m_prompt(prompt), m_call(call), m_holder(holder),
       m_service(route.pick_service(random_bits())),
       m_affinity(last_shared_part(call)),
       m_zones_allowed(state.settings.home_zones(
-          route.homes, holder ? holder->homes : std::vector<std::string>()))
+          route.allowed_regions,
+          holder ? holder->allowed_regions : std::vector<std::string>()))
 {
 }
 
@@ -64,13 +65,13 @@
 /// Calls that wait for a runner with a limit come one after the other: without
 /// places of their own all of them would wait for its next one, and all but one
 /// in vain.
-NextChance
+NextAvailability
 RunnerChoice::keep_place(TimePoint useful)
 {
     release();
     const RunnerQuery query = make_query();
-    NextChance chance = m_state.runners.with([&](RunnerTable& table) {
-        NextChance next = table.next_chance(query);
+    NextAvailability chance = m_state.runners.with([&](RunnerTable& table) {
+        NextAvailability next = table.next_available(query);
         if (next.at && *next.at < useful)
             table.reserve(next.incarnation());
         return next;
@@ -80,12 +81,12 @@
     return chance;
 }
 
-NextChance
-RunnerChoice::next_chance()
+NextAvailability
+RunnerChoice::next_available()
 {
     const RunnerQuery query = make_query();
     return m_state.runners.with(
-        [&query](RunnerTable& table) { return table.next_chance(query); });
+        [&query](RunnerTable& table) { return table.next_available(query); });
 }
 
 bool
@@ -95,7 +96,7 @@
         return choose();
     const RunnerQuery query = make_query();
     auto pick = m_state.runners.with([&](RunnerTable& table) {
-        auto chosen = table.choose_booked(query, m_kept_place->incarnation());
+        auto chosen = table.choose_reserved(query, m_kept_place->incarnation());
         if (chosen)
             table.reserve(chosen->incarnation());
         return chosen;
@@ -123,7 +124,7 @@
         table.sent(m_pick.incarnation(), tokens, resident, now);
     });
     if (m_pick.limited)
-        m_state.turns.with([&](AccountTurns& turns) {
+        m_state.turns.with([&](FairShareTracker& turns) {
             turns.taken(m_service, account(), now);
         });
 }
@@ -190,7 +191,7 @@
     m_account_ahead = false;
     if (m_state.counters.runners_limited == 0)
         return;
-    query.account_ahead = m_state.turns.with([&](AccountTurns& turns) {
+    query.account_ahead = m_state.turns.with([&](FairShareTracker& turns) {
         turns.asked(m_service, account(), query.now);
         return turns.is_ahead(m_service, account(), query.now);
     });
@@ -231,7 +232,7 @@
     space.model = m_call.generation->model;
     space.version = version;
     if (m_holder && m_holder->isolated)
-        space.wall = m_holder->name;
+        space.isolated_account = m_holder->name;
     return space;
 }
 
--- a/src/serve/forward/runner_choice.h
+++ b/src/serve/forward/runner_choice.h
@@ -28,7 +28,7 @@
     /// All of them outlive it. `holder` is null on open routes.
     RunnerChoice(ForwardState& state, CallPrompt& prompt,
                  const ForwardedCall& call, const ServiceRoute& route,
-                 const KeyHolder* holder);
+                 const AccountSettings* holder);
     ~RunnerChoice();
     RunnerChoice(const RunnerChoice&) = delete;
     RunnerChoice& operator=(const RunnerChoice&) = delete;
@@ -38,9 +38,9 @@
     bool choose();
     /// Returns when a runner takes work again, and keeps a place there for the
     /// call where that is before `useful`.
-    NextChance keep_place(TimePoint useful);
+    NextAvailability keep_place(TimePoint useful);
     /// Returns when a runner takes work again, and keeps no place there.
-    NextChance next_chance();
+    NextAvailability next_available();
     /// As choose(), with the place that was kept.
     bool choose_kept();
     /// Takes note that the call is sent to the chosen runner at `now`; see
@@ -85,7 +85,7 @@
     ForwardState& m_state;
     CallPrompt& m_prompt;
     const ForwardedCall& m_call;
-    const KeyHolder* m_holder;
+    const AccountSettings* m_holder;
     const std::string m_service;
     const std::string m_affinity; ///< The last shared part of the prompt.
     /// Zones whose runners may have the call; nothing for all.
@@ -93,7 +93,7 @@
     RunnerPick m_pick;
     bool m_reserved = false; ///< The call is about to be sent to m_pick.
     /// Where a place is kept for the call while it waits.
-    std::optional<NextChance> m_kept_place;
+    std::optional<NextAvailability> m_kept_place;
     bool m_account_ahead = false; ///< At the last choice.
     bool m_spares_ending = true;
     std::set<std::string> m_avoid; ///< Runners that are not chosen.
--- a/src/serve/gossip_duty.cpp
+++ b/src/serve/gossip_duty.cpp
@@ -93,7 +93,7 @@
     });
     const TimePoint now = monotonic_now();
     m_state.routing.with([&](Routing& routing) {
-        for (const UpstreamMark& mark : message.marks)
+        for (const LeavingMark& mark : message.marks)
             routing.engines.mark_leaving(
                 mark.upstream,
                 now + std::chrono::milliseconds(mark.expires_in_ms));
--- a/src/serve/instance_state.cpp
+++ b/src/serve/instance_state.cpp
@@ -27,11 +27,11 @@
 void
 InstanceState::engine_ended(const std::string& address)
 {
-    const auto calls = breaks.with([&address](OpenBreaks& open) {
+    const auto calls = breaks.with([&address](UnresolvedFailures& open) {
         return open.ended({address, 0}, monotonic_now());
     });
     take_ends(crashes, calls);
-    for (const BrokenCall& call : calls)
+    for (const InterruptedCall& call : calls)
         spdlog::info("engine={} ended under digest={}", address, call.request);
 }
 
@@ -68,10 +68,10 @@
 }
 
 bool
-InstanceState::put_in_force(ConfigurationState::Held candidate)
+InstanceState::put_in_force(ConfigurationState::ConfigurationPtr candidate)
 {
     const std::uint64_t revision = candidate->revision();
-    if (!configuration.offer(std::move(candidate)))
+    if (!configuration.set_if_newer(std::move(candidate)))
         return false;
     members.with(
         [revision](MemberTable& table) { table.set_revision(revision); });
--- a/src/serve/instance_state.h
+++ b/src/serve/instance_state.h
@@ -11,10 +11,10 @@
 #include "upstream_directory.h"
 
 #include <crosslink/admit/retry_budget.h>
-#include <crosslink/claim/answer_keeper.h>
+#include <crosslink/claim/answer_cache.h>
 #include <crosslink/configuration/configuration_state.h>
 #include <crosslink/forward/crash_history.h>
-#include <crosslink/forward/open_breaks.h>
+#include <crosslink/forward/unresolved_failures.h>
 #include <crosslink/membership/member_table.h>
 #include <crosslink/report/burn_report.h>
 #include <crosslink/route/engine_table.h>
@@ -57,13 +57,13 @@
     Guarded<MemberTable> members;
     Guarded<Routing> routing;
     Guarded<UpstreamDirectory> directory;
-    Guarded<AnswerKeeper> answers;
+    Guarded<AnswerCache> answers;
     Guarded<BurnReport> burn;
     Guarded<RetryBudgets> retry_budgets;
     /// Prompts under which engines ended, as this instance saw it.
     Guarded<CrashHistory> crashes;
-    Guarded<OpenBreaks> breaks; ///< That wait for a verdict.
-    Nudger break_added;         ///< Reaches the looks at ports.
+    Guarded<UnresolvedFailures> breaks; ///< That wait for a verdict.
+    Nudger unresolved_failure_added;    ///< Reaches the looks at ports.
     Metrics metrics;
     Nudger configuration_pull;         ///< A peer told a newer revision.
     Nudger gossip_now;                 ///< There is news to spread at once.
@@ -84,7 +84,7 @@
     double limit_share();
     /// Puts `candidate` in force where it is newer, and tells the others.
     /// Returns whether it was newer.
-    bool put_in_force(ConfigurationState::Held candidate);
+    bool put_in_force(ConfigurationState::ConfigurationPtr candidate);
 };
 
 } // namespace crosslink
--- a/src/serve/kept_fetch.cpp
+++ b/src/serve/kept_fetch.cpp
@@ -74,7 +74,7 @@
     order.store_address = kept.store;
     order.blocks.assign(
         kept.blocks.begin() + static_cast<std::ptrdiff_t>(choice.cached_blocks),
-        kept.blocks.begin() + static_cast<std::ptrdiff_t>(choice.fetch_to));
+        kept.blocks.begin() + static_cast<std::ptrdiff_t>(choice.fetch_end));
     return order;
 }
 
@@ -112,7 +112,7 @@
 fetch_kept(InstanceState& state, const CompletionCall& call,
            const KeptBlocks& kept, const RouteChoice& choice)
 {
-    if (choice.fetch_to <= choice.cached_blocks)
+    if (choice.fetch_end <= choice.cached_blocks)
         return {};
     ImportOrder order = import_order(call, kept, choice);
     const std::uint64_t bytes = total_bytes(order.blocks);
--- a/src/serve/once.cpp
+++ b/src/serve/once.cpp
@@ -38,7 +38,8 @@
     claim.id = random_name();
     claim.holder = m_state.self_address();
     const auto key_time = key_time_of(call.idempotency_key);
-    if (!key_time && call.account->terms->undated_keys == UndatedKeys::Refuse)
+    if (!key_time &&
+        call.account->policy->undated_keys == UndatedKeyPolicy::Refuse)
         throw Error(ErrorCode::UndatedKey,
                     "an Idempotency-Key must be a UUID of version 7 "
                     "(RFC 9562), so that its age is known");
@@ -73,21 +74,21 @@
         ++m_state.metrics.claims_held;
         return replay(call, claim, verdict.holder);
     }
-    require(Invariant::ClaimBeforeDispatch,
-            verdict.kind == ClaimVerdict::Kind::Granted &&
-                verdict.holder == m_state.self_address());
+    check_invariant(Invariant::ClaimBeforeDispatch,
+                    verdict.kind == ClaimVerdict::Kind::Granted &&
+                        verdict.holder == m_state.self_address());
     ++m_state.metrics.claims_granted;
-    m_state.answers.with([&](AnswerKeeper& answers) {
+    m_state.answers.with([&](AnswerCache& answers) {
         answers.begin(claim.key, call.fingerprint);
     });
     try {
         PlainAnswer answer = dispatch();
         m_state.answers.with(
-            [&](AnswerKeeper& answers) { answers.finish(claim.key, answer); });
+            [&](AnswerCache& answers) { answers.finish(claim.key, answer); });
         return {std::move(answer), false};
     } catch (const Error& failure) {
         m_state.answers.with(
-            [&](AnswerKeeper& answers) { answers.forget(claim.key); });
+            [&](AnswerCache& answers) { answers.forget(claim.key); });
         if (!is_not_run(failure.run_state()))
             throw Error(ErrorCode::ClaimOutcomeUnknown,
                         std::string("it may have run: ") + failure.what(),
@@ -104,7 +105,7 @@
     HeldAnswer held;
     if (holder == m_state.self_address()) {
         held = m_state.answers.with(
-            [&](AnswerKeeper& answers) { return answers.find(claim.key); });
+            [&](AnswerCache& answers) { return answers.find(claim.key); });
     } else {
         try {
             held = m_state.clients.peer(holder)->answer_of(claim.key);
--- a/src/serve/peer_server.cpp
+++ b/src/serve/peer_server.cpp
@@ -70,7 +70,7 @@
             gossip.answer(wire::gossip_from_json(parameters)));
     });
     m_rpc->add(method::commit_claims, [this](const Json::Value& parameters) {
-        const auto slice = json_small_number(parameters, "slice");
+        const auto slice = json_uint32(parameters, "slice");
         const auto claims = wire::claims_from_json(parameters["claims"]);
         Json::Value result;
         result["verdicts"] =
@@ -80,7 +80,7 @@
     m_rpc->add(method::answer_of, [this](const Json::Value& parameters) {
         const Digest key = Digest::from_hex(json_string(parameters, "key"));
         return wire::answer_to_json(m_state.answers.with(
-            [&key](AnswerKeeper& answers) { return answers.find(key); }));
+            [&key](AnswerCache& answers) { return answers.find(key); }));
     });
     m_rpc->add(method::upstream_list, [this](const Json::Value& parameters) {
         const Digest have = Digest::from_hex(json_string(parameters, "have"));
--- a/src/serve/plain_calls.cpp
+++ b/src/serve/plain_calls.cpp
@@ -71,7 +71,8 @@
     });
     if (!free)
         return come_back;
-    return spread_return(std::max(least_return, *free - now), random_bits());
+    return jittered_retry_delay(std::max(min_retry_delay, *free - now),
+                                random_bits());
 }
 
 PlainAnswer
--- a/src/serve/request_crashes.cpp
+++ b/src/serve/request_crashes.cpp
@@ -11,7 +11,7 @@
 {
 
 RequestCrashes::RequestCrashes(Guarded<CrashHistory>& history,
-                               Guarded<OpenBreaks>& breaks,
+                               Guarded<UnresolvedFailures>& breaks,
                                MakeDigest make_digest)
     : m_history(history), m_breaks(breaks),
       m_make_digest(std::move(make_digest))
@@ -51,7 +51,7 @@
         is_suspect() && m_history.with([this](const auto& history) {
             return history.ends(digest()) > 0;
         });
-    return ended || m_breaks.with([this](const OpenBreaks& breaks) {
+    return ended || m_breaks.with([this](const UnresolvedFailures& breaks) {
         return !breaks.empty() && breaks.has(digest(), monotonic_now());
     });
 }
@@ -68,26 +68,27 @@
 }
 
 bool
-RequestCrashes::broke(const PortToLookAt& upstream, bool is_looked_at)
+RequestCrashes::broke(const ProbeTarget& upstream, bool is_looked_at)
 {
     const TimePoint now = monotonic_now();
     if (m_again)
         m_history.with(
             [&](CrashHistory& history) { history.hold(digest(), now, now); });
-    return m_breaks.with([&](OpenBreaks& breaks) {
-        return breaks.add({digest(), upstream.runner, upstream.born,
+    return m_breaks.with([&](UnresolvedFailures& breaks) {
+        return breaks.add({digest(), upstream.runner, upstream.start_ms,
                            upstream.address, m_again, now, is_looked_at},
                           now);
     });
 }
 
 std::size_t
-take_ends(Guarded<CrashHistory>& history, std::span<const BrokenCall> calls)
+take_ends(Guarded<CrashHistory>& history,
+          std::span<const InterruptedCall> calls)
 {
     if (calls.empty())
         return 0;
     history.with([&](CrashHistory& known) {
-        for (const BrokenCall& call : calls)
+        for (const InterruptedCall& call : calls)
             known.ended(call, monotonic_now());
     });
     return calls.size();
--- a/src/serve/request_crashes.h
+++ b/src/serve/request_crashes.h
@@ -6,7 +6,7 @@
 #include "guarded.h"
 
 #include <crosslink/forward/crash_history.h>
-#include <crosslink/forward/open_breaks.h>
+#include <crosslink/forward/unresolved_failures.h>
 
 #include <cstddef>
 #include <functional>
@@ -25,8 +25,8 @@
 
     /// `history` and `breaks` outlive it. `make_digest` is called once at most,
     /// and only where it matters: it reads the whole request.
-    RequestCrashes(Guarded<CrashHistory>& history, Guarded<OpenBreaks>& breaks,
-                   MakeDigest make_digest);
+    RequestCrashes(Guarded<CrashHistory>& history,
+                   Guarded<UnresolvedFailures>& breaks, MakeDigest make_digest);
 
     /// Returns whether the request is to be sent nowhere.
     bool blocked();
@@ -39,18 +39,18 @@
     void answered();
     /// Takes note that `upstream`, to which it was sent last, broke it off, or
     /// answered that it failed. Returns whether it is known to have ended.
-    bool broke(const PortToLookAt& upstream, bool is_looked_at);
+    bool broke(const ProbeTarget& upstream, bool is_looked_at);
 
     /// See request_digest().
     const std::string& digest();
-    /// See BrokenCall.
+    /// See InterruptedCall.
     bool again() const { return m_again; }
 
 private:
     bool is_suspect();
 
     Guarded<CrashHistory>& m_history;
-    Guarded<OpenBreaks>& m_breaks;
+    Guarded<UnresolvedFailures>& m_breaks;
     const MakeDigest m_make_digest;
     std::string m_digest; ///< Empty before it is asked for.
     bool m_again = false;
@@ -58,6 +58,6 @@
 
 /// Takes in calls under which a process ended. Returns how many.
 std::size_t take_ends(Guarded<CrashHistory>& history,
-                      std::span<const BrokenCall> calls);
+                      std::span<const InterruptedCall> calls);
 
 } // namespace crosslink
