--- a/src/serve/request_path.cpp
+++ b/src/serve/request_path.cpp
@@ -67,7 +67,7 @@
 RequestPath::serve(const CallerRequest& request, CallerReply& reply)
 {
     // One revision from start to end: a change takes hold with the next one.
-    const Held configuration = m_state.configuration.current();
+    const ConfigurationPtr configuration = m_state.configuration.current();
     if (!m_state.ready || !configuration)
         throw Error(ErrorCode::NotReady, "this instance does not serve now",
                     RunState::NotDispatched, come_back);
@@ -96,7 +96,7 @@
         item["object"] = "model";
         body["data"].append(item);
     };
-    for (const ModelGrant& grant : account.terms->models) {
+    for (const ModelGrant& grant : account.policy->models) {
         add(grant.model);
         for (const std::string& adapter : grant.adapters)
             add(grant.model + ":" + adapter);
@@ -110,7 +110,7 @@
                               bool chat)
 {
     CompletionCall call = read_completion(account, request.body, chat);
-    const TrafficSplit* split = account.terms->split_for(completions_class);
+    const TrafficSplit* split = account.policy->split_for(completions_class);
     if (split && !goes_to_new_fleet(*split, caller_of(call, account))) {
         serve_by_old(*split, account, request, reply);
         return;
@@ -203,7 +203,7 @@
     outcome.account = call.account->name;
     outcome.model = call.model;
     outcome.zone = m_state.settings.zone;
-    outcome.objectives = call.account->terms->objectives;
+    outcome.objectives = call.account->policy->objectives;
     outcome.answered = relay.finished();
     if (run.times().first_token)
         outcome.first_token = *run.times().first_token - request.received_at;
@@ -230,13 +230,13 @@
                          const CallerRequest& request, CallerReply& reply)
 {
     const std::string path = path_only(request.path);
-    const PlainServiceGrant* grant = account.terms->service_for(path);
+    const PlainServiceGrant* grant = account.policy->service_for(path);
     if (!grant)
         throw Error(ErrorCode::UnknownPath,
                     "this client account has no service at this path");
     const bool marked = is_not_repeatable(*grant, request.method, path);
     std::string service = grant->service;
-    const TrafficSplit* split = account.terms->split_for(service);
+    const TrafficSplit* split = account.policy->split_for(service);
     if (split && !goes_to_new_fleet(*split, account.name))
         service = split->old_service;
     const auto place = m_gate.enter(account, token_estimate(request.body) + 1);
--- a/src/serve/request_path.h
+++ b/src/serve/request_path.h
@@ -30,7 +30,7 @@
     AdmissionGate& gate() { return m_gate; }
 
 private:
-    using Held = ConfigurationState::Held;
+    using ConfigurationPtr = ConfigurationState::ConfigurationPtr;
 
     void serve_models(const ClientAccount& account, CallerReply& reply);
     void serve_completion(const ClientAccount& account,
--- a/src/serve/settings.cpp
+++ b/src/serve/settings.cpp
@@ -24,7 +24,7 @@
 bool
 put_number(Number& value, const std::string& text, Number low, Number high)
 {
-    const auto parsed = whole_number<Number>(text);
+    const auto parsed = parse_integer<Number>(text);
     if (!parsed || *parsed < low || *parsed > high)
         return false;
     value = *parsed;
--- a/src/serve/status_report.cpp
+++ b/src/serve/status_report.cpp
@@ -68,7 +68,7 @@
     Json::Value value;
     value["store"] = link.store;
     value["bytes_per_second"] = link.bytes_per_second;
-    value["under_way"] = Json::UInt64(link.under_way);
+    value["under_way"] = Json::UInt64(link.bytes_in_flight);
     value["fetched"] = Json::UInt64(link.fetched);
     return value;
 }
@@ -124,8 +124,8 @@
 status_text(const Json::Value& status)
 {
     std::string text = "zone " + json_string(status, "zone") + ", revision " +
-                       std::to_string(json_number(status, "revision")) +
-                       (json_flag(status, "ready") ? "\n" : ", not ready\n");
+                       std::to_string(json_uint64(status, "revision")) +
+                       (json_bool(status, "ready") ? "\n" : ", not ready\n");
     char line[200];
     text += "\nmembers\n";
     for (const Json::Value& member : status["members"]) {
@@ -134,7 +134,7 @@
             json_string(member, "address").c_str(),
             json_string(member, "zone").c_str(),
             json_string(member, "state").c_str(),
-            static_cast<unsigned long long>(json_number(member, "revision")));
+            static_cast<unsigned long long>(json_uint64(member, "revision")));
         text += line;
     }
     text += "\nengines\n";
@@ -145,12 +145,12 @@
             "%llu blocks cached\n",
             json_string(engine, "address").c_str(),
             json_string(engine, "zone").c_str(),
-            json_flag(engine, "takes_work") ? "in use" : "not used",
-            static_cast<unsigned long long>(json_number(engine, "running")),
+            json_bool(engine, "takes_work") ? "in use" : "not used",
+            static_cast<unsigned long long>(json_uint64(engine, "running")),
             static_cast<unsigned long long>(
-                json_number(engine, "waiting_tokens")),
+                json_uint64(engine, "waiting_tokens")),
             static_cast<unsigned long long>(
-                json_number(engine, "believed_cached_blocks")));
+                json_uint64(engine, "believed_cached_blocks")));
         text += line;
     }
     for (const char* kind : {"stores", "plain"}) {
@@ -160,7 +160,7 @@
                           json_string(instance, "address").c_str(),
                           json_string(instance, "zone").c_str(),
                           json_string(instance, "service").c_str(),
-                          json_flag(instance, "leaving") ? " leaving" : "");
+                          json_bool(instance, "leaving") ? " leaving" : "");
             text += line;
         }
     }
--- a/src/serve/upstream_duties.cpp
+++ b/src/serve/upstream_duties.cpp
@@ -160,7 +160,7 @@
     try {
         const EngineLoad load = m_state.clients.engine(address)->load();
         m_state.routing.with([&](Routing& routing) {
-            routing.engines.reported(address, load, monotonic_now());
+            routing.engines.update_load(address, load, monotonic_now());
         });
         follow_events(address, load);
     } catch (const Error& failure) {
--- a/src/standins/engine_standin.cpp
+++ b/src/standins/engine_standin.cpp
@@ -91,7 +91,7 @@
             send_json(answer, 404, Json::Value(Json::objectValue));
             return;
         }
-        const auto from = json_small_number(body, "from");
+        const auto from = json_uint32(body, "from");
         stream(*run, from, run->order.block_keys.size(), answer);
     }
 
@@ -182,7 +182,7 @@
         const std::lock_guard lock(m_mutex);
         Json::Value result;
         result["events"] = wire::events_to_json(
-            m_cache.events_after(json_number(body, "after")));
+            m_cache.events_after(json_uint64(body, "after")));
         return result;
     }
 
@@ -197,7 +197,7 @@
     Json::Value order(const Json::Value& body)
     {
         const std::lock_guard lock(m_mutex);
-        const std::uint64_t token = json_number(body, "token");
+        const std::uint64_t token = json_uint64(body, "token");
         if (m_settings.checks_tokens && token < m_highest_token)
             throw Error(ErrorCode::LeaseLost, "the token is too old");
         m_highest_token = std::max(m_highest_token, token);
@@ -212,11 +212,11 @@
     Json::Value adjust(const Json::Value& body)
     {
         const std::lock_guard lock(m_mutex);
-        if (json_flag(body, "forget"))
+        if (json_bool(body, "forget"))
             m_cache.clear();
-        if (json_flag(body, "lose_events"))
+        if (json_bool(body, "lose_events"))
             m_cache.lose_events();
-        m_leaving = json_flag(body, "leaving", m_leaving);
+        m_leaving = json_bool(body, "leaving", m_leaving);
         return Json::Value(Json::objectValue);
     }
 
--- a/src/standins/fault_switch.cpp
+++ b/src/standins/fault_switch.cpp
@@ -47,9 +47,9 @@
     Fault fault;
     fault.path = json_string(order, "path", "/");
     fault.kind = kind_of(json_string(order, "kind"));
-    fault.ms = json_small_number(order, "ms");
-    fault.skip = json_small_number(order, "skip");
-    fault.count = json_small_number(order, "count");
+    fault.ms = json_uint32(order, "ms");
+    fault.skip = json_uint32(order, "skip");
+    fault.count = json_uint32(order, "count");
     const std::lock_guard lock(m_mutex);
     m_faults.push_back(fault);
 }
--- a/src/standins/platform_standin.cpp
+++ b/src/standins/platform_standin.cpp
@@ -77,7 +77,7 @@
         if (value.size() > most_value_bytes)
             throw Error(ErrorCode::BodyTooLarge, "a value is too large");
         const std::string key = json_string(body, "key");
-        const bool applied = version_of(key) == json_number(body, "expected");
+        const bool applied = version_of(key) == json_uint64(body, "expected");
         if (applied) {
             Record& record = m_records[key];
             record.value = value;
@@ -94,7 +94,7 @@
         const std::string key = json_string(body, "key");
         const std::uint64_t version = version_of(key);
         const bool applied =
-            version != 0 && version == json_number(body, "expected");
+            version != 0 && version == json_uint64(body, "expected");
         if (applied)
             m_records.erase(key);
         return outcome(applied, key);
@@ -103,9 +103,9 @@
     Json::Value watch(const Json::Value& body)
     {
         const std::string key = json_string(body, "key");
-        const std::uint64_t seen = json_number(body, "seen");
+        const std::uint64_t seen = json_uint64(body, "seen");
         const auto wait =
-            std::chrono::milliseconds(json_number(body, "wait_ms"));
+            std::chrono::milliseconds(json_uint64(body, "wait_ms"));
         std::unique_lock lock(m_mutex);
         count_read();
         m_changed.wait_for(lock, wait, [&] { return version_of(key) > seen; });
@@ -128,7 +128,7 @@
             lease.token = ++m_last_token;
         lease.holder = holder;
         lease.until =
-            now + std::chrono::milliseconds(json_number(body, "ttl_ms"));
+            now + std::chrono::milliseconds(json_uint64(body, "ttl_ms"));
         result["token"] = Json::UInt64(lease.token);
         return result;
     }
@@ -138,7 +138,7 @@
         const std::lock_guard lock(m_mutex);
         count_write();
         Lease& lease = m_leases[json_string(body, "name")];
-        if (lease.token == json_number(body, "token"))
+        if (lease.token == json_uint64(body, "token"))
             lease.holder.clear();
         return Json::Value(Json::objectValue);
     }
--- a/src/standins/store_standin.cpp
+++ b/src/standins/store_standin.cpp
@@ -89,7 +89,7 @@
     {
         const std::lock_guard lock(m_mutex);
         const Digest key = Digest::from_hex(json_string(body, "key"));
-        const std::uint64_t bytes = json_number(body, "bytes");
+        const std::uint64_t bytes = json_uint64(body, "bytes");
         Json::Value result;
         result["reserved"] = false;
         if (m_by_key.contains(key))
@@ -195,12 +195,12 @@
     Json::Value adjust(const Json::Value& body)
     {
         const std::lock_guard lock(m_mutex);
-        m_full = json_flag(body, "full", m_full);
-        m_slowdown = json_real(body, "slowdown", m_slowdown);
-        if (json_flag(body, "free_all"))
+        m_full = json_bool(body, "full", m_full);
+        m_slowdown = json_double(body, "slowdown", m_slowdown);
+        if (json_bool(body, "free_all"))
             while (!m_order.empty())
                 free(m_order.front());
-        if (json_flag(body, "forget")) {
+        if (json_bool(body, "forget")) {
             m_incarnation = random_bits() >> 1U;
             m_slots.clear();
             m_by_key.clear();
