--- a/src/serve/coordinator/coordinator.cpp
+++ b/src/serve/coordinator/coordinator.cpp
@@ -108,8 +108,8 @@
         return true;
     if (!known.empty())
         return false;
-    const bool first =
-        !m_state.fleet.with([](FleetView& view) { return view.listed; });
+    const bool first = !m_state.fleet.with(
+        [](FleetView& view) { return view.runners_listed; });
     const Micros wait = takeover_wait(first);
     if (wait.count() == 0)
         return true;
--- a/src/serve/coordinator/rollout_duty.cpp
+++ b/src/serve/coordinator/rollout_duty.cpp
@@ -40,7 +40,7 @@
     std::vector<Missing> result;
     m_state.fleet.with([&](FleetView& view) {
         // Before the first reading nothing is known of the record.
-        if (!view.listed)
+        if (!view.runners_listed)
             return;
         for (const auto& [model, history] : view.weights)
             for (const std::uint64_t version :
--- a/src/serve/fleet/change_applier.cpp
+++ b/src/serve/fleet/change_applier.cpp
@@ -250,7 +250,7 @@
     m_state.crashes.with(
         [this](CrashHistory& history) { history.recorded_only(m_blocked); });
     m_state.fleet.with([this](FleetView& view) {
-        view.listed = true;
+        view.runners_listed = true;
         view.holders.record_gap(monotonic_now());
         if (!m_holder_named) {
             view.coordinator.clear();
--- a/src/serve/forward/forward_state.cpp
+++ b/src/serve/forward/forward_state.cpp
@@ -199,7 +199,7 @@
 ForwardState::knows_fleet()
 {
     return fleet.with([](const FleetView& view) {
-        return view.map != nullptr && view.listed;
+        return view.map != nullptr && view.runners_listed;
     });
 }
 
--- a/src/serve/forward/forward_state.h
+++ b/src/serve/forward/forward_state.h
@@ -49,7 +49,7 @@
     explicit FleetView(Micros settle) : reach(settle) {}
 
     std::shared_ptr<const ServiceMap> map; ///< Null before the first one.
-    bool listed = false; ///< The runners were read at least once.
+    bool runners_listed = false; ///< The runners were read at least once.
     std::map<std::string, WeightsHistory, std::less<>> weights; ///< By model.
     /// What the platform keeps of them, by model.
     std::map<std::string, RolloutRecord, std::less<>> rollouts;
