--- a/src/serve/coordinator/block_duty.cpp
+++ b/src/serve/coordinator/block_duty.cpp
@@ -17,8 +17,8 @@
 namespace
 {
 
-/// Between two looks: the instances know by then, and only those that start
-/// wait for the record.
+/// Pause between two rounds. Running instances do not depend on the record;
+/// only instances that start do.
 constexpr Micros look_pause = std::chrono::milliseconds(500);
 
 } // namespace
@@ -54,7 +54,8 @@
 BlockDuty::block(const std::string& request)
 {
     m_state.ports.blocked.block(request, CrashHistory::remembered);
-    // The watch tells it too; until then it would be written again.
+    // The watch on the platform's store reports the record too, but the request
+    // would be recorded again until then.
     m_state.crashes.with([&](CrashHistory& history) {
         history.recorded(request, monotonic_now());
     });
--- a/src/serve/coordinator/block_duty.h
+++ b/src/serve/coordinator/block_duty.h
@@ -11,14 +11,14 @@
 namespace crosslink
 {
 
-/// Records at the platform which requests are sent to no runner, and takes back
-/// what proved wrong, while this instance has the duty; idle else. Instances
-/// tell each other what they see; the record is for those that start later, or
-/// after all others are gone.
+/// While this instance holds the coordinator duty, records blocked requests at
+/// the platform and removes the records of requests that proved harmless; idle
+/// otherwise. Running instances report crashes to each other directly; the
+/// record is for instances that start later, or after all others are gone.
 class BlockDuty
 {
 public:
-    /// `state` outlives it.
+    /// `state` must outlive this object.
     explicit BlockDuty(ForwardState& state);
 
 private:
--- a/src/serve/coordinator/coordinator.cpp
+++ b/src/serve/coordinator/coordinator.cpp
@@ -23,11 +23,11 @@
 {
 
 constexpr const char* duty_name = "steward";
-/// Between the tries of two instances for a duty that became free.
+/// Delay between the attempts of two instances to take a free duty.
 constexpr Micros takeover_step = std::chrono::milliseconds(40);
-/// Instances beyond this one try at the same time.
+/// Instances of this rank and later ones try at the same time.
 constexpr std::size_t last_rank = 6;
-/// For so long instances with weak links leave the duty to others.
+/// Extra delay of instances with weak links, which leaves the duty to others.
 constexpr Micros weak_link_wait = std::chrono::milliseconds(500);
 
 } // namespace
@@ -61,7 +61,7 @@
     }
 }
 
-/// Takes the duty, or extends its lease.
+/// Takes the lease of the duty, or renews it.
 void
 Coordinator::hold_duty(Micros span)
 {
@@ -82,7 +82,7 @@
             mine.granted(lease->token, asked, lease->span, lease->replaces_own);
         return !m_state.stopping;
     });
-    // The stop began meanwhile, and found nothing to give back.
+    // A stop began in the meantime and found no lease to release.
     if (!granted)
         plan_release();
     m_kept.follow_map();
@@ -92,9 +92,10 @@
     }
 }
 
-/// Returns whether this instance should try to take the duty. While another
-/// one holds it, only its end is waited for. Instances try one after the other,
-/// so that few calls are made.
+/// Returns whether this instance should try to take the duty. It does not try
+/// while another instance holds it. Instances try one after the other, so that
+/// the platform gets few calls; this function waits until it is the turn of
+/// this instance.
 bool
 Coordinator::is_own_turn()
 {
@@ -103,7 +104,7 @@
             [](FleetView& view) { return view.coordinator; });
     };
     const std::string known = holder();
-    // An earlier process at this address, which is gone.
+    // The holder is an earlier process at this address, which is gone.
     if (known == m_state.settings.peer_address())
         return true;
     if (!known.empty())
@@ -117,8 +118,8 @@
     return holder().empty();
 }
 
-/// Returns how long this instance leaves a free duty to others. `first` says
-/// that it knows no others yet.
+/// Returns how long this instance leaves a free duty to other instances.
+/// `first` is true if it does not know the other instances yet.
 Micros
 Coordinator::takeover_wait(bool first)
 {
@@ -165,8 +166,9 @@
     return !other && m_state.may_tell_kept(monotonic_now());
 }
 
-/// Returns the time as of which this instance may tell what it knows. An answer
-/// must count from it: the process may be frozen at any point.
+/// Returns the current time if this instance may answer now, and throws
+/// Error(LeaseLost) otherwise. The validity of an answer must count from this
+/// time, since the process may be suspended at any point.
 TimePoint
 Coordinator::require_knowledge() const
 {
@@ -180,7 +182,7 @@
 Coordinator::stop_answering(std::uint64_t token, const std::string& address)
 {
     const bool silent = m_kept.stop_answering(token);
-    // The platform may be out of reach, and told nothing of it.
+    // The platform may be unreachable and not have reported the new holder.
     if (silent)
         m_state.fleet.with(
             [&](FleetView& view) { view.peer_reported_coordinator = address; });
@@ -207,8 +209,9 @@
     m_state.merge_peer_report(request.weights, now);
     response.weights = m_state.weights_ages(now);
     response.platform_reached = m_state.reaches_platform();
-    // Without the duty nobody asks runners whether they have loaded: they
-    // would get no calls for as long as this instance tells what it knew.
+    // Without the duty, this instance does not ask runners whether they have
+    // finished loading: they would get no calls for as long as it reported
+    // them as loading.
     if (m_state.may_act())
         response.loading = m_weights.loading();
     response.loaded = m_weights.loaded();
@@ -258,9 +261,10 @@
         plan_release();
 }
 
-/// The next holder takes it that this one did nothing in the unused part of its
-/// lease: the lease is given back only after as long without an act. Given back
-/// at once, orders of the two were 2.8 s apart, where 3 s are asked for.
+/// The next holder assumes that this one did not act in the unused part of its
+/// lease. The lease is therefore released only after as long without an action.
+/// When it was released at once, orders of the two holders were 2.8 s apart
+/// instead of the required 3 s.
 void
 Coordinator::plan_release()
 {
--- a/src/serve/coordinator/coordinator.h
+++ b/src/serve/coordinator/coordinator.h
@@ -27,36 +27,40 @@
 namespace crosslink
 {
 
-/// The duties that one instance of the fleet has at a time, under a lease at
-/// the platform: it orders new weights, and it keeps the directory of kept
-/// KV. Every instance runs one of these; all but the holder's are idle.
+/// The fleet-wide work that one instance does at a time, under a lease at the
+/// platform: the coordinator duty, which is called "steward" at the platform
+/// and in the log. Its holder orders runners to load new weights, keeps the
+/// directory of stored KV, and collects and distributes the load of all
+/// instances. Every instance has an object of this class, which is idle unless
+/// the instance holds the duty.
 class Coordinator
 {
 public:
-    /// `state` outlives it.
+    /// `state` must outlive this object.
     explicit Coordinator(ForwardState& state);
 
-    /// True where this instance answers the questions below: it has the duty,
-    /// or had it until a moment ago and knows of no other holder.
+    /// Returns whether this instance answers the requests below: it holds the
+    /// duty, or held it until a moment ago and knows of no other holder.
     bool may_answer() const;
-    /// Answers where parts lie, for a call that ends within `longest`. Throws
-    /// Error(LeaseLost) where the duty ended too long ago.
+    /// Returns where `parts` are stored, for a call that ends within `longest`.
+    /// Throws Error(LeaseLost) if the duty ended too long ago.
     KeptAnswer find_kept_parts(const KeptSpace& space,
                                std::span<const PromptPart> parts,
                                Micros longest);
     /// See KeptDuties::stop_answering(); the later holder is at `address`.
     bool stop_answering(std::uint64_t token, const std::string& address);
-    /// Takes note of parts that were told to be saved by a call that did not
+    /// Cancels the saves of `parts` that were assigned to a call that did not
     /// run.
     void cancel_saves(const std::string& space,
                       std::span<const PromptPart> parts);
-    /// Takes in what an instance tells of itself, and returns what it needs to
-    /// know of the fleet. Throws Error(LeaseLost).
+    /// Records the state that another instance reports, and returns the state
+    /// of the fleet that it needs. Throws Error(LeaseLost) if the duty ended
+    /// too long ago.
     ExchangeResponse exchange(const ExchangeRequest& request);
-    /// Looks at once at what the platform told anew.
+    /// Reacts at once to changes that were read from the platform.
     void fleet_changed();
-    /// Does nothing more under the duty, and gives it back a moment later, at a
-    /// planned stop.
+    /// Stops acting under the duty at once, and releases its lease a moment
+    /// later. For a planned stop.
     void give_up();
 
 private:
@@ -72,10 +76,10 @@
 
     ForwardState& m_state;
     std::uint64_t m_last_token = 0;
-    /// When the duty is given back, once a planned stop has begun.
+    /// When the lease is released, once a planned stop has begun.
     Guarded<std::optional<TimePoint>> m_release_at;
     std::map<std::string, std::uint64_t> m_seen_weights;
-    std::uint64_t m_seen_map = 0; ///< Version.
+    std::uint64_t m_seen_map = 0; ///< Version of the configuration.
     Guarded<LoadAggregator> m_loads;
     WeightsDuty m_weights;
     RolloutDuty m_rollouts;
--- a/src/serve/coordinator/coordinator_link.cpp
+++ b/src/serve/coordinator/coordinator_link.cpp
@@ -19,7 +19,8 @@
     const std::string address = m_state.fleet.with(
         [](FleetView& view) { return view.coordinator_address(); });
     if (address.empty())
-        throw Error(ErrorCode::LeaseLost, "no instance has the duty");
+        throw Error(ErrorCode::LeaseLost,
+                    "no instance is known to hold the duty");
     const std::lock_guard lock(m_mutex);
     if (address != m_address) {
         m_address = address;
--- a/src/serve/coordinator/coordinator_link.h
+++ b/src/serve/coordinator/coordinator_link.h
@@ -15,16 +15,17 @@
 namespace crosslink
 {
 
-/// The way to whichever instance has the duty: this one, or another one over
-/// the network. Safe for many threads.
+/// Sends requests to the instance that holds the coordinator duty: this one, or
+/// another one over the network. Thread-safe.
 class CoordinatorLink
 {
 public:
     CoordinatorLink(ForwardState& state, Coordinator& coordinator);
 
-    /// Calls `ask` with the Coordinator of this process or with a FleetClient;
-    /// both have the same calls. Throws Error(LeaseLost) where nobody is known
-    /// to have the duty, and what the call throws.
+    /// Calls `ask` with the Coordinator of this process or with a FleetClient,
+    /// which have the same member functions, and returns its result. Throws
+    /// Error(LeaseLost) if no holder of the duty is known, and whatever `ask`
+    /// throws.
     template<typename Ask> auto with(const Ask& ask)
     {
         if (m_coordinator.may_answer())
--- a/src/serve/coordinator/kept_duties.cpp
+++ b/src/serve/coordinator/kept_duties.cpp
@@ -18,16 +18,16 @@
 namespace
 {
 
-/// Rounds while another instance has the duty.
+/// Pause between rounds while another instance holds the duty.
 constexpr Micros idle_pause = std::chrono::milliseconds(700);
 constexpr Micros free_pause = std::chrono::milliseconds(500);
-/// Pause between two questions for a store's changes, so that several come
-/// together. A part is fetched that much later after its save at most.
+/// Pause between two requests for a store's changes, so that one answer brings
+/// several. It delays the first fetch of a saved part by as much at most.
 constexpr Micros changes_pause = std::chrono::milliseconds(40);
-/// Longest wait of one such question.
+/// Longest wait of one such request.
 constexpr Micros changes_wait = std::chrono::milliseconds(900);
 constexpr Micros store_failed_pause = std::chrono::milliseconds(300);
-/// Beyond a call's own time, for the last bytes of a save.
+/// Time that a save may take beyond the end of its call, for the last bytes.
 constexpr Micros save_slack = std::chrono::seconds(1);
 
 } // namespace
@@ -94,8 +94,8 @@
     });
 }
 
-/// Asks the earlier holders that may still tell to stop, and lets the directory
-/// know when none is left.
+/// Asks the earlier holders of the duty that may still answer to stop, and
+/// informs the directory when none is left.
 void
 KeptDuties::silence_earlier()
 {
@@ -106,7 +106,8 @@
     const TimePoint now = monotonic_now();
     const HolderHistory holders =
         m_state.fleet.with([](FleetView& view) { return view.holders; });
-    // The own duty stands last, when all changes up to it were told.
+    // This instance is the last holder in the history only once the platform
+    // has reported all changes up to its own lease.
     if (holders.holder() != m_state.settings.peer_address() ||
         !holders.is_complete(kept_grace_time, now))
         return;
@@ -165,7 +166,7 @@
     m_store_duties = std::move(duties);
 }
 
-/// Returns the least version of each model that a runner still has.
+/// Returns the oldest version of each model that a runner still has.
 KeptDuties::OldestVersions
 KeptDuties::oldest_versions()
 {
@@ -195,7 +196,8 @@
     return free_pause;
 }
 
-/// Lets the directory let go of parts, and the stores free what is due.
+/// Lets the directory evict parts, and tells the stores to free those that are
+/// due.
 void
 KeptDuties::free_due()
 {
--- a/src/serve/coordinator/kept_duties.h
+++ b/src/serve/coordinator/kept_duties.h
@@ -22,49 +22,52 @@
 namespace crosslink
 {
 
-/// Keeps the directory of kept KV while this instance has the duty: learns
-/// what the stores have, and has them free what is let go. Idle else.
+/// Maintains the directory of stored KV while this instance holds the
+/// coordinator duty: reads what the stores contain, and tells them to free the
+/// parts that the directory evicts. Idle otherwise.
 class KeptDuties
 {
 public:
-    /// Both outlive it.
+    /// `state` and `weights` must outlive this object.
     KeptDuties(ForwardState& state, WeightsDuty& weights);
 
-    /// Begins with an empty directory: the duty is this instance's from now
-    /// on, under `token`.
+    /// Begins with an empty directory when this instance takes the duty, with
+    /// the fencing token `token`.
     void begin(std::uint64_t token);
-    /// Follows the stores of the configuration in force. Called by one thread
-    /// alone.
+    /// Adopts the stores of the configuration in force. To be called by one
+    /// thread only.
     void follow_map();
-    /// Looks at the stores at once, at the beginning of the duty. Called by
-    /// the thread of follow_map().
+    /// Reads the stores at once, when this instance has taken the duty. To be
+    /// called by the thread that calls follow_map().
     void nudge();
-    /// Answers where `parts` lie, for a call that ends within `longest`, as of
-    /// `now`, at which this instance may tell. Throws Error(LeaseLost) after
-    /// stop_answering().
+    /// Returns where `parts` are stored, for a call that ends within `longest`.
+    /// `now` is a time at which this instance was allowed to answer. Throws
+    /// Error(LeaseLost) after stop_answering().
     KeptAnswer ask(const KeptSpace& space, std::span<const PromptPart> parts,
                    Micros longest, TimePoint now);
     /// See KeptDirectory::update_since(). Throws Error(LeaseLost) after
     /// stop_answering().
     KeptUpdate update_since(std::uint64_t term, std::uint64_t place,
                             TimePoint now);
-    /// Tells nothing more until the next begin(), for the holder with `token`.
-    /// Returns false where that is no later holder.
+    /// Answers nothing more until the next begin(), at the request of the
+    /// holder with the fencing token `token`. Returns false, and goes on
+    /// answering, if that is not a later holder.
     bool stop_answering(std::uint64_t token);
-    /// Takes note of parts that were told to be saved by a call that did not
+    /// Cancels the saves of `parts` that were assigned to a call that did not
     /// run.
     void cancel_saves(const std::string& space,
                       std::span<const PromptPart> parts);
 
 private:
-    /// The directory with what feeds it.
+    /// The directory with the state of its updates.
     struct Kept {
         KeptDirectory directory;
-        std::uint64_t token = 0;       ///< Of the duty, here.
-        bool silent = false;           ///< A later holder asked for it.
-        bool others_silent = false;    ///< So did all earlier holders.
-        std::uint64_t map_version = 0; ///< The stores are from this one.
-        std::map<std::string, std::uint64_t, std::less<>> next; ///< By store.
+        std::uint64_t token = 0;       ///< Fencing token of the own lease.
+        bool silent = false;           ///< stop_answering() was called.
+        bool others_silent = false;    ///< All earlier holders have stopped.
+        std::uint64_t map_version = 0; ///< Configuration of the stores.
+        /// Position of the next change to read, by store.
+        std::map<std::string, std::uint64_t, std::less<>> next;
     };
     using OldestVersions = std::map<std::string, std::uint64_t, std::less<>>;
 
--- a/src/serve/coordinator/rollout_duty.cpp
+++ b/src/serve/coordinator/rollout_duty.cpp
@@ -17,11 +17,11 @@
 namespace
 {
 
-/// Rounds while there is nothing to record. New versions and an own taking of
-/// the duty are seen in between.
+/// Pause between rounds while there is nothing to record. A new version starts
+/// a round at once; that the duty was taken is noticed in the next round.
 constexpr Micros idle_pause = std::chrono::milliseconds(500);
-/// Until the watch tells what was written, or a write that failed is tried
-/// again. Each is a priced call.
+/// Pause after a write, until the watch on the platform's store reports it, or
+/// until a failed write is retried. Each write is a billed call.
 constexpr Micros again_pause = std::chrono::milliseconds(400);
 
 } // namespace
@@ -31,7 +31,7 @@
 {
 }
 
-/// Returns what is not recorded.
+/// Returns the named versions that are not recorded.
 std::vector<RolloutDuty::Missing>
 RolloutDuty::missing()
 {
@@ -39,7 +39,7 @@
     const Micros bound = m_state.settings.sending_bound();
     std::vector<Missing> result;
     m_state.fleet.with([&](FleetView& view) {
-        // Before the first reading nothing is known of the record.
+        // The record is unknown before the platform's store was first read.
         if (!view.runners_listed)
             return;
         for (const auto& [model, history] : view.weights)
--- a/src/serve/coordinator/rollout_duty.h
+++ b/src/serve/coordinator/rollout_duty.h
@@ -13,25 +13,25 @@
 namespace crosslink
 {
 
-/// Records at the platform which weights were named, and how long the replaced
-/// ones may be used, while this instance has the duty; idle else. It has a
-/// thread of its own, so that a slow platform holds up neither orders nor the
-/// duty's lease.
+/// While this instance holds the coordinator duty, records at the platform
+/// which weights were named and how long the replaced ones may still be used;
+/// idle otherwise. It has a thread of its own, so that a slow platform delays
+/// neither orders to runners nor the renewal of the duty's lease.
 class RolloutDuty
 {
 public:
-    /// `state` outlives it.
+    /// `state` must outlive this object.
     explicit RolloutDuty(ForwardState& state);
 
-    /// Looks at once for what is to be recorded.
+    /// Starts the next round at once.
     void nudge() { m_duty.nudge(); }
 
 private:
-    /// A version that is not recorded yet.
+    /// A named version that is not recorded yet.
     struct Missing {
         std::string model;
         std::uint64_t version = 0;
-        TimePoint until{}; ///< Calls may be sent to older ones.
+        TimePoint until{}; ///< Calls may be sent to older versions until then.
     };
 
     Micros round();
--- a/src/serve/coordinator/runner_desk.cpp
+++ b/src/serve/coordinator/runner_desk.cpp
@@ -13,12 +13,14 @@
 namespace
 {
 
-/// Runners that are talked to at once. A runner that says nothing takes a
-/// thread for 0.65 s (the time-outs of a connection and an answer). A sixth of
-/// the runners load at once, and up to 0.4 of them where the bound is near:
-/// seven of 18, and a thread is left for the others where all seven are silent.
+/// Number of runners that are contacted at once. A runner that does not answer
+/// occupies a thread for 0.65 s (the timeouts of the connection and the
+/// answer). A sixth of the runners load weights at once, and up to 0.4 of them
+/// if little time is left for the rollout: seven of 18. One thread is left for
+/// the other runners even if all seven are silent.
 constexpr std::size_t thread_count = 8;
-/// Tasks that wait: runners that load at once in a fleet of the target size.
+/// Capacity of the queue: the number of runners that load at once in a fleet of
+/// the target size.
 constexpr std::size_t most_waiting = 512;
 
 } // namespace
@@ -58,7 +60,7 @@
         try {
             m_talk(*task);
         } catch (const std::exception& failure) {
-            spdlog::warn("runner desk failed: {}", failure.what());
+            spdlog::warn("request to runner failed: {}", failure.what());
         }
         m_busy.with([&task](auto& busy) { busy.erase(task->order.runner); });
     }
--- a/src/serve/coordinator/runner_desk.h
+++ b/src/serve/coordinator/runner_desk.h
@@ -17,33 +17,33 @@
 namespace crosslink
 {
 
-/// What is to be said to a runner.
+/// A request to be sent to a runner.
 struct RunnerTask {
     enum class Kind {
-        Give, ///< The order.
-        Ask,  ///< Whether it has carried out the order.
+        Give, ///< Give it the order.
+        Ask,  ///< Ask whether it has carried out the order.
     };
     Kind kind = Kind::Ask;
     WeightsOrder order;
 };
 
-/// Talks to several runners at a time: one that gives no answer holds up no
-/// other. One after the other, each such runner took 0.4 s in which nothing
-/// else was ordered, nine times in one rollout of 18 runners.
+/// Sends requests to several runners at a time, so that a runner that does not
+/// answer delays no other. With one request after the other, each such runner
+/// blocked all orders for 0.4 s, nine times in one rollout of 18 runners.
 class RunnerDesk
 {
 public:
     using Talk = std::function<void(const RunnerTask&)>;
 
-    /// `talk` is called by threads of the desk, and may block.
+    /// `talk` is called by threads of this object, and may block.
     explicit RunnerDesk(Talk talk);
-    /// Ends after the talks that are under way.
+    /// Waits for the tasks in progress.
     ~RunnerDesk();
     RunnerDesk(const RunnerDesk&) = delete;
     RunnerDesk& operator=(const RunnerDesk&) = delete;
 
-    /// Has the task done soon. Returns false, and does not take it, where an
-    /// earlier one for the same runner has not ended, or too many wait.
+    /// Queues a task. Returns false, and drops it, if an earlier task for the
+    /// same runner has not ended, or the queue is full.
     bool submit(const RunnerTask& task);
 
 private:
--- a/src/serve/coordinator/runner_desk_test.cpp
+++ b/src/serve/coordinator/runner_desk_test.cpp
@@ -16,17 +16,17 @@
 namespace
 {
 
-/// A name that runners of a test have where they answer at once.
+/// Name of a runner that answers at once.
 constexpr const char* answering = "answering";
 
-/// Far beyond what a talk takes: a test that waits so long has failed.
+/// Timeout of a test, far longer than a task takes.
 constexpr auto longest_wait = std::chrono::seconds(20);
 
-/// Runners that may say nothing for as long as a test wants.
+/// Runners that do not answer until let_go() is called.
 class Runners
 {
 public:
-    /// Ends when the runners are let go, for the answering one at once.
+    /// Returns once let_go() was called; for the answering runner, at once.
     void talk(const RunnerTask& task)
     {
         std::unique_lock lock(m_mutex);
@@ -57,7 +57,7 @@
         m_changed.wait(lock, [&] { return m_talks >= talks; });
     }
 
-    /// As wait_for(), but returns false where it takes too long.
+    /// As wait_for(), but returns false after a timeout.
     bool wait_while_held(std::size_t talks)
     {
         std::unique_lock lock(m_mutex);
@@ -79,7 +79,7 @@
     return {RunnerTask::Kind::Give, {runner, 0, "127.0.0.1:1", "m", 2}};
 }
 
-/// Submits until the task is taken: a talk that was let go ends at once.
+/// Submits until the task is accepted, which is soon after let_go().
 void
 submit_until_taken(RunnerDesk& desk, const RunnerTask& task)
 {
@@ -89,18 +89,18 @@
 
 } // namespace
 
-TEST_CASE("a desk tells that a runner is still being talked to")
+TEST_CASE("a second task for a runner is refused until the first ends")
 {
     Runners runners;
     RunnerDesk desk([&runners](const RunnerTask& task) { runners.talk(task); });
     CHECK(desk.submit(task_for("r0")));
     CHECK_FALSE(desk.submit(task_for("r0")));
     CHECK(desk.submit(task_for("r1")));
-    SECTION("until the talk ends")
+    SECTION("when the first task ends")
     {
         runners.let_go();
     }
-    SECTION("until the talk fails")
+    SECTION("when the first task fails")
     {
         runners.fail();
         runners.let_go();
@@ -110,11 +110,11 @@
     runners.wait_for(3);
 }
 
-TEST_CASE("silent runners of a rollout leave a thread for others")
+TEST_CASE("silent runners of a rollout leave a thread for other runners")
 {
     Runners runners;
     RunnerDesk desk([&runners](const RunnerTask& task) { runners.talk(task); });
-    // Of 18 runners, seven load at once where the bound is near.
+    // Of 18 runners, seven load at once if little time is left for a rollout.
     for (int i = 0; i < 7; ++i)
         REQUIRE(desk.submit(task_for("r" + std::to_string(i))));
     REQUIRE(desk.submit(task_for(answering)));
@@ -123,7 +123,7 @@
     CHECK(talked);
 }
 
-TEST_CASE("a desk tells that too many tasks wait, and takes them later")
+TEST_CASE("a task is refused while the queue is full, and accepted later")
 {
     Runners runners;
     RunnerDesk desk([&runners](const RunnerTask& task) { runners.talk(task); });
--- a/src/serve/coordinator/weights_duty.cpp
+++ b/src/serve/coordinator/weights_duty.cpp
@@ -18,14 +18,14 @@
 namespace
 {
 
-/// Rounds of the weights plan while it has something to do: a runner's load
-/// takes most of a second.
+/// Pause between rounds while orders are due or open: a runner takes most of a
+/// second to load weights.
 constexpr Micros busy_pause = std::chrono::milliseconds(80);
-/// Rounds while there is nothing to do.
+/// Pause between rounds while there is nothing to do.
 constexpr Micros idle_pause = std::chrono::milliseconds(700);
 
-/// Returns which process the report is of: the one that was ordered, where it
-/// does not say so.
+/// Returns the process that sent the report. If the report does not name it,
+/// that is the process that got the order.
 RunnerIncarnation
 incarnation_of(const WeightsOrder& order, const RunnerReport& report)
 {
@@ -108,8 +108,9 @@
     return due.empty() && open.empty() ? idle_pause : busy_pause;
 }
 
-/// Drops the runners of services that the configuration does not name: entries
-/// of other writers, which would take the places of runners in a rollout.
+/// Drops the runners of services that the configuration does not name. Such
+/// entries come from other writers, and would count against the number of
+/// runners that may load at once in a rollout.
 void
 WeightsDuty::keep_known_services(RunnerTable& runners)
 {
@@ -122,7 +123,8 @@
     runners.keep_services(services);
 }
 
-/// Has `order` given; one that the desk doesn't take now is due again.
+/// Queues `order` to be given to its runner. If the queue does not accept it,
+/// the order is due again later.
 void
 WeightsDuty::hand_in(const WeightsOrder& order)
 {
@@ -141,7 +143,8 @@
         ask(task.order);
 }
 
-/// Asks the runner of `order` for its report, and takes in whether it leaves.
+/// Asks the runner of `order` for its report, and records whether it announces
+/// its exit.
 std::optional<RunnerReport>
 WeightsDuty::report_for(const WeightsOrder& order)
 {
@@ -151,7 +154,8 @@
     return report;
 }
 
-/// Gives `order` where the runner's report calls for it.
+/// Gives `order` to its runner unless the report shows that the runner is
+/// leaving, is busy, or already has the weights.
 OrderOutcome
 WeightsDuty::give_after(const RunnerReport& report, const WeightsOrder& order)
 {
--- a/src/serve/coordinator/weights_duty.h
+++ b/src/serve/coordinator/weights_duty.h
@@ -19,21 +19,22 @@
 namespace crosslink
 {
 
-/// Brings the runners to the weights that were named, while this instance has
-/// the duty; idle else.
+/// Orders the runners to load the weights that were named, while this instance
+/// holds the coordinator duty; idle otherwise.
 class WeightsDuty
 {
 public:
-    /// `state` outlives it.
+    /// `state` must outlive this object.
     explicit WeightsDuty(ForwardState& state);
 
-    /// Begins with an empty plan: the duty is this instance's from now on.
+    /// Begins with an empty plan when this instance takes the duty.
     void begin();
-    /// Looks at once for what is to be done.
+    /// Starts the next round at once.
     void nudge() { m_duty.nudge(); }
-    /// Returns the runners that were told to load.
+    /// Returns the runners that were ordered to load weights and have not
+    /// finished.
     std::vector<std::string> loading();
-    /// Returns the weights that runners have loaded a moment ago.
+    /// Returns the weights that runners finished loading a moment ago.
     std::vector<RunnerWeights> loaded();
     /// See WeightsPlan::updated_fraction().
     double updated_fraction();
--- a/src/serve/forward/answer_intake.cpp
+++ b/src/serve/forward/answer_intake.cpp
@@ -13,9 +13,9 @@
 namespace
 {
 
-/// Returns whether an answer is of the runner that was asked. Another process
-/// at its address answers that it is not the one that was meant, and speaks of
-/// itself.
+/// Returns whether an answer comes from the runner that the call was sent to.
+/// Another process at its address answers that the call is misdirected, and
+/// reports its own state.
 bool
 is_of(const AnswerHead& head, const RunnerPick& runner)
 {
@@ -45,8 +45,9 @@
     take_backoff(head, runner);
 }
 
-/// That a runner names no limit counts only where it ran the call: others may
-/// have refused it in its place.
+/// An answer without a limit ends a known limit only if the runner ran the
+/// call, which its signature shows: another process may have refused the call
+/// in its place.
 void
 AnswerIntake::take_limit(const AnswerHead& head, const RunnerPick& runner)
 {
@@ -90,7 +91,7 @@
                                     "answer");
 }
 
-/// A word that can't be read counts neither as said nor as taken back.
+/// Logs a value that can't be parsed. It neither sets nor clears anything.
 void
 AnswerIntake::unreadable(const char* word, const RunnerPick& runner) const
 {
--- a/src/serve/forward/answer_intake.h
+++ b/src/serve/forward/answer_intake.h
@@ -12,19 +12,20 @@
 struct ForwardState;
 struct RunnerPick;
 
-/// Takes in what the answers to one call say of the runners that made them: the
-/// one place where such words go from the wire to what this instance knows.
+/// Applies what the answers to one call report about the runners that sent
+/// them. Everything that answers say about runners enters the state of this
+/// instance here.
 class AnswerIntake
 {
 public:
-    /// Both outlive it.
+    /// `state` and `call` must outlive this object.
     AnswerIntake(ForwardState& state, const ForwardedCall& call);
 
-    /// Takes in the head of the answer to the call, whatever its status, that
-    /// came on the connection to `runner`.
+    /// Applies the head of an answer to the call, whatever its status, that
+    /// arrived on the connection to `runner`.
     void take(const AnswerHead& head, const RunnerPick& runner);
-    /// As take(), of an answer to an earlier call on that connection: it may be
-    /// older than what is known of limits and weights.
+    /// As take(), for an answer to an earlier call on that connection. Its
+    /// limit and weights are ignored: they may be older than the known ones.
     void take_surplus(const AnswerHead& head, const RunnerPick& runner);
 
 private:
--- a/src/serve/forward/call_prompt.cpp
+++ b/src/serve/forward/call_prompt.cpp
@@ -17,13 +17,14 @@
 namespace
 {
 
-/// A fetch must end within so many times the objective; else the prompt is
-/// read.
+/// Longest time for a fetch, as a multiple of the route's objective. After it,
+/// the prompt is read instead.
 constexpr int objectives_for_fetch = 2;
 
 using SecondsByZone = std::map<std::string, double>;
 
-/// Adds to `near` the zone from which fetching takes longest in all.
+/// Sets the zone and time of `near` to those of the zone from which fetching
+/// takes longest in total.
 void
 add_longest(KeptNear& near, const SecondsByZone& seconds_by_zone)
 {
@@ -34,7 +35,7 @@
         }
 }
 
-/// Returns the letter that stands for `place` in the log.
+/// Returns the letter for `place` in the log; see CallPrompt::summary().
 char
 letter_of(const KeptPlace& place)
 {
@@ -119,7 +120,8 @@
     fetch_or_read(answer, terms);
 }
 
-/// Counts what is fetched, saved and read, and bounds the fetches.
+/// Counts the parts that are fetched, saved and read, and sets the time by
+/// which the fetches must end.
 void
 CallPrompt::fetch_or_read(const KeptAnswer& answer, SendTerms& terms)
 {
@@ -176,8 +178,8 @@
     m_read = false;
     m_expected = now + runner_wait + reading_time(m_tokens_to_read);
     m_watched.reset();
-    // The time of a call tells of a store where the call reads none of its
-    // shared parts.
+    // The time to the first event measures a store only if the runner reads
+    // none of the shared parts.
     if (!fetches_all())
         return;
     m_watched = FetchPath{store_of_largest(), m_zone};
--- a/src/serve/forward/call_prompt.h
+++ b/src/serve/forward/call_prompt.h
@@ -20,44 +20,47 @@
 namespace crosslink
 {
 
-/// The prompt of one forwarded call at the runner that it is sent to: where
-/// its shared parts lie, and how much of it the runner must read. A call
-/// without a prompt has no parts and nothing to read.
+/// The prompt of one forwarded call at the runner that it is sent to: which
+/// stores hold the KV of its shared parts, and how many tokens the runner must
+/// prefill ("read"). A call without a prompt has no parts and nothing to read.
 class CallPrompt
 {
 public:
-    /// All of them outlive it. `objective` is the route's, to the first event.
+    /// All references must outlive this object. `objective` is the route's
+    /// latency objective for the first event.
     CallPrompt(ForwardState& state, KeptAsker& kept, const ForwardedCall& call,
                Micros objective);
 
-    /// Returns the zone from which a runner that is such an `engine` would
-    /// fetch most, of the stores of `map`.
+    /// Returns the zone from which fetching takes longest for a runner with
+    /// the properties `engine`, with that time and the number of tokens that
+    /// would be fetched. Only stores that `map` lists are counted.
     KeptNear near(const KeptSpace& space, const ServiceMap& map,
                   const EngineInfo& engine);
-    /// Learns where the shared parts lie whose KV is of `space`, and adds to
-    /// `terms` what the runner, which is in `zone`, is to do with them. The
+    /// Looks up where the KV of the shared parts is stored under `space`, and
+    /// adds to `terms` what the runner in `zone` is to do with each part. The
     /// call must be a generation that ends within `time_left`.
     void ask(const KeptSpace& space, std::string_view zone, Micros time_left,
              SendTerms& terms);
-    /// Takes note that the call is sent at `now` to a runner that is expected
-    /// to take it up after `runner_wait`.
+    /// Records that the call is sent at `now` to a runner that is expected to
+    /// start on it after `runner_wait`.
     void sent(TimePoint now, Micros runner_wait);
-    /// Takes note that its first event came: the prompt is read.
+    /// Records the first event of the answer: the prompt has been read.
     void first_event();
-    /// Takes note that the call ended at this runner, with an event or
-    /// without.
+    /// Records that the call ended at this runner, with or without an event.
     void ended();
-    /// Gives back what the call was to save, where it did certainly not run.
+    /// Releases the saves that were assigned to the call. To be called only if
+    /// the call certainly did not run.
     void not_run();
 
     /// Returns the tokens that the runner must read.
     std::uint64_t tokens_to_read() const { return m_tokens_to_read; }
-    /// True once the first event came.
+    /// True once the first event has arrived.
     bool is_read() const { return m_read; }
-    /// Returns a letter for each shared part, for the log: f where it is
-    /// fetched, s where it is read and saved; where it is read, why: b another
-    /// call saves it, g it is about to be freed, a its store is away, n no
-    /// room, t of an earlier term, w its store is slow, r unknown.
+    /// Returns one letter for each shared part, for the log: `f` for fetched,
+    /// `s` for read and saved. A part that is only read has the reason: `b`
+    /// another call is saving it, `g` it is about to be freed, `a` its store
+    /// does not answer, `n` no store has room, `t` its space belongs to an
+    /// earlier term, `w` its store is slow, `r` unknown.
     std::string summary() const;
 
 private:
@@ -69,13 +72,14 @@
     KeptAsker& m_kept;
     const ForwardedCall& m_call;
     const Micros m_objective;
-    std::string m_space;             ///< Under which the call runs.
+    std::string m_space;             ///< Space that the call runs under.
     std::vector<KeptPlace> m_places; ///< One for each shared part.
     std::string m_zone;              ///< Of the runner.
-    /// Of the largest part, where the call tells of its store.
+    /// Store and zone whose fetch latency the call measures: those of the
+    /// largest part, if all parts are fetched.
     std::optional<FetchPath> m_watched;
     std::uint64_t m_tokens_to_read = 0;
-    TimePoint m_expected{}; ///< Of the first event, without its fetches.
+    TimePoint m_expected{}; ///< Of the first event, without fetch times.
     bool m_read = false;
 };
 
--- a/src/serve/forward/caller_link.h
+++ b/src/serve/forward/caller_link.h
@@ -12,27 +12,26 @@
 namespace crosslink
 {
 
-/// The way back to the caller of a forwarded call.
+/// Sends the answer to the caller of a forwarded call.
 class CallerLink
 {
 public:
     virtual ~CallerLink() = default;
 
-    /// Sends a whole answer.
+    /// Sends a complete answer.
     virtual void answer(int status, std::span<const HeaderField> headers,
                         std::string_view body) = 0;
-    /// Begins an answer whose body follows piece by piece.
+    /// Sends the head of an answer whose body follows with send().
     virtual void begin(int status, std::span<const HeaderField> headers) = 0;
-    /// Sends a piece of it. Returns false where the caller went away.
+    /// Sends a piece of the body. Returns false if the caller disconnected.
     virtual bool send(std::string_view piece) = 0;
-    /// Ends it as complete.
+    /// Ends the body as complete.
     virtual void finish() = 0;
-    /// Ends it so that it can't be taken for complete.
+    /// Aborts the answer so that the caller can't take it for complete.
     virtual void break_off() = 0;
     /// True once answer() or begin() was called.
     virtual bool begun() const = 0;
-    /// Returns the descriptor of the caller's socket, to notice that it went
-    /// away.
+    /// Returns the descriptor of the caller's socket, to detect a disconnect.
     virtual int socket() const = 0;
 };
 
--- a/src/serve/forward/crash_watch.cpp
+++ b/src/serve/forward/crash_watch.cpp
@@ -23,8 +23,9 @@
 {
 }
 
-/// Tells an ended process from a connection that broke. The platform's list
-/// tells it three heartbeats later, when the request has met other runners.
+/// Distinguishes a process that exited from a connection that broke, by its
+/// port. The platform's list shows an exit only three heartbeats later, when
+/// the request has already been sent to other runners.
 ProcessFate
 CrashWatch::fate_of(const RunnerPick& runner)
 {
--- a/src/serve/forward/crash_watch.h
+++ b/src/serve/forward/crash_watch.h
@@ -16,23 +16,24 @@
 namespace crosslink
 {
 
-/// A forwarded call's part of that history: finds out whether a runner ended
-/// under it.
+/// Finds out whether runner processes exit while they run a forwarded call,
+/// and records it in the crash history of the call's request.
 class CrashWatch : public RequestCrashes
 {
 public:
-    /// All of them outlive it. `account` is empty on open routes.
+    /// `state` and `call` must outlive this object. `account` is empty on open
+    /// routes.
     CrashWatch(ForwardState& state, const ForwardedCall& call,
                const std::string& account);
 
-    /// Takes note that the connection to `runner` broke before the whole
-    /// answer. Looks whether the runner still takes connections, for 100 ms at
-    /// the most.
+    /// Records that the connection to `runner` broke before the answer was
+    /// complete. Checks whether the runner still accepts connections, which
+    /// takes up to 100 ms.
     void broken(const RunnerPick& runner);
-    /// Takes note that `runner` answered that the call failed there: it may be
-    /// the last that its process says.
+    /// Records that `runner` answered that the call failed there. A process may
+    /// send such an answer just before it exits.
     void failed(const RunnerPick& runner);
-    /// Takes note that `runner` answered the call, which was sent at `sent_at`.
+    /// Records that `runner` answered the call, which was sent at `sent_at`.
     void served(const RunnerPick& runner, TimePoint sent_at);
 
 private:
--- a/src/serve/forward/forward_answer.cpp
+++ b/src/serve/forward/forward_answer.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-// The part of a run that waits for a runner's answer and relays it.
+// The part of ForwardRun that waits for a runner's answer and relays it.
 
 #include "forward_run.h"
 
@@ -20,22 +20,25 @@
 namespace
 {
 
-/// Longest time between two looks when a call must be withdrawn: newer weights
-/// may be named, or the platform go away, meanwhile.
+/// Longest time between two checks whether a call must be withdrawn: newer
+/// weights may be named in between, or the platform become unreachable.
 constexpr Micros withdraw_look = std::chrono::milliseconds(200);
-/// Shortest one: the time that is left stands still while the platform is away.
+/// Shortest time between them: the time until the withdrawal does not decrease
+/// while the platform is unreachable.
 constexpr Micros least_withdraw_look = std::chrono::milliseconds(10);
-/// Surplus answers of earlier calls that are read past.
+/// Greatest number of answers to earlier calls on the connection that are
+/// skipped.
 constexpr int most_surplus = 3;
 constexpr int first_success = 200;
 constexpr int first_redirect = 300;
 constexpr int first_server_error = 500;
-/// An answer that is not a stream is held whole before it goes out.
+/// Largest body of an answer that is not a stream; it is buffered whole before
+/// it is sent to the caller.
 constexpr std::size_t most_body_bytes = 16U << 20U;
-/// An idle connection is given up so long before the runner closes it.
+/// An idle connection is closed this long before the runner would close it.
 constexpr Micros idle_margin = std::chrono::milliseconds(1200);
 
-/// Statuses that tell a caller that its call has not run.
+/// Returns whether `status` tells a caller that its call has not run.
 bool
 promises_not_run(int status)
 {
@@ -107,14 +110,14 @@
     }
 }
 
-/// Returns whether the call is withdrawn where its weights are forbidden.
+/// Returns whether the call is to be withdrawn when its weights are forbidden.
 bool
 ForwardRun::waits_on_weights() const
 {
     return !has_begun() && m_call.generation.has_value();
 }
 
-/// Returns the time until something else than the answer is to be looked at.
+/// Returns how long to wait for the answer before the next check.
 Micros
 ForwardRun::next_look() const
 {
@@ -126,8 +129,9 @@
     return next;
 }
 
-/// Returns the time until the call must be withdrawn, where that is near: a
-/// look each 0.2 s alone left the runner 0.1 s to see that its caller has gone.
+/// Returns the time until the call must be withdrawn, within the bounds above.
+/// With a fixed check every 0.2 s, the runner had only 0.1 s left to notice
+/// that its caller has disconnected.
 Micros
 ForwardRun::next_weights_look() const
 {
@@ -135,9 +139,10 @@
     return std::clamp(left, least_withdraw_look, withdraw_look);
 }
 
-/// Called once where a kept connection has said nothing for long: others of
-/// the same age may be as dead, and the call is repeated where it may be.
-/// Else it waits on: the runner may have it.
+/// Called once if nothing arrived on a reused connection for too long. Closes
+/// the idle connections to the runner that are as old, since they may be dead
+/// too. Returns whether the call is retried; otherwise it goes on waiting, as
+/// the runner may have received it.
 bool
 ForwardRun::gives_up_silent()
 {
@@ -152,8 +157,8 @@
     return repeats;
 }
 
-/// Returns the head of the answer to this call; nothing where it was the
-/// answer to an earlier one on the same connection, which is read past.
+/// Returns the head of the answer to this call. Returns nothing if the answer
+/// belongs to an earlier call on the same connection; that answer is skipped.
 std::optional<AnswerHead>
 ForwardRun::next_head()
 {
@@ -183,7 +188,8 @@
             .field("version", m_choice.pick().version);
         return head.misdirected ? Outcome::Misdirected : Outcome::NotRun;
     }
-    // The caller would take it for a promise that the runner did not give.
+    // The caller would conclude that the call did not run, which the runner
+    // did not state.
     if (promises_not_run(head.status))
         return Outcome::Broken;
     const bool success = is_success(head.status);
@@ -191,7 +197,8 @@
         return Outcome::Broken;
     if (success && head.event_stream)
         return relay_events(link, head);
-    // What another runner began can't go on with an answer of another kind.
+    // A stream that another runner began can't continue with an answer of
+    // another kind.
     return link.begun() ? Outcome::Broken : relay_whole(link, head);
 }
 
@@ -231,10 +238,10 @@
     return Outcome::Done;
 }
 
-/// Returns whether a call that failed at its runner is sent to another one: it
-/// may be repeated, there is a repeat to give out, and as much time as this run
-/// took. Where a service fails one run in seven, one caller in seven was told
-/// so; with a repeat it is one in fifty.
+/// Returns whether a call that failed at its runner is sent to another one: the
+/// route allows it, the retry budget grants it, and more time is left than this
+/// run took. If a service fails one run in seven, one caller in seven gets the
+/// failure without a retry, and one in fifty with it.
 bool
 ForwardRun::repeats_failed()
 {
@@ -270,7 +277,7 @@
     return Outcome::Done;
 }
 
-/// Sends whole events to the caller. Returns false where it went away.
+/// Sends whole events to the caller. Returns false if it disconnected.
 bool
 ForwardRun::send_events(CallerLink& link, const AnswerHead& head,
                         const std::string& events)
--- a/src/serve/forward/forward_end.cpp
+++ b/src/serve/forward/forward_end.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-// The part of a run that ends it without a whole answer, and tells the caller
-// why, and when to come back.
+// The part of ForwardRun that ends a call without a complete answer, and tells
+// the caller the reason and when to retry.
 
 #include "forward_run.h"
 
@@ -20,14 +20,16 @@
 namespace
 {
 
-/// Where no runner may take the call, one must load weights first, or start:
-/// loading takes 1.1 to 2.6 s, and several do at once.
+/// Retry time where no runner may accept the call. A runner must load weights
+/// or start first: loading takes 1.1 to 2.6 s, and several runners load at
+/// once.
 constexpr Micros come_back_unknown = std::chrono::seconds(1);
 
 } // namespace
 
-/// Ends a call without a whole answer: an answer that has begun is broken off.
-/// A runner's failure that came before stands as the answer.
+/// Ends a call without a complete answer. An answer that has begun is aborted;
+/// otherwise, if a runner answered with a failure before, the caller gets that
+/// answer.
 void
 ForwardRun::give_up(CallerLink& link, Outcome outcome)
 {
@@ -40,9 +42,10 @@
         fail(outcome);
 }
 
-/// Ends a call whose request ended too many runners. The caller is told so at
-/// once, and with no time to come back: the same would happen to the next
-/// runner. A status that promises that nothing ran would bring it back.
+/// Ends a call whose request is blocked because too many runners exited while
+/// running it. The error has no retry time: the next runner would exit as well.
+/// It must not have a status that promises that nothing ran, as the caller
+/// would retry on that.
 void
 ForwardRun::end_blocked(CallerLink& link)
 {
@@ -55,11 +58,12 @@
         return;
     }
     throw Error(ErrorCode::RequestEndsUpstreams,
-                "runners ended each time they ran this request",
+                "runners exited each time they ran this request",
                 m_runs > 0 ? RunState::MayHaveRun : RunState::NotDispatched);
 }
 
-/// Returns when a caller whose call found no runner should come back.
+/// Returns the time after which a caller should retry a call that found no
+/// runner.
 Micros
 ForwardRun::time_to_chance() const
 {
@@ -67,16 +71,16 @@
     const Micros left =
         chance ? std::max(min_retry_delay, *chance - monotonic_now())
                : come_back_unknown;
-    // Callers that are refused in a backoff, or for a limit, would all come
-    // back at the same moment.
+    // Callers refused during a backoff, or because of a limit, would all retry
+    // at the same moment.
     const bool come_together =
         m_next_available.backoff_ends_at || m_next_available.limited;
     return come_together ? jittered_retry_delay(left, random_bits()) : left;
 }
 
-/// Returns when a caller should come back whose call was refused by the runners
-/// that it was sent to, and may be sent to no more of them: at once where one
-/// takes work.
+/// Returns the time after which a caller should retry a call that was refused
+/// by the runners it was sent to, and that may be sent to no more runners. It
+/// is the shortest one if a runner accepts calls now.
 Micros
 ForwardRun::time_after_refusals()
 {
@@ -87,14 +91,14 @@
                                                 : time_to_chance();
 }
 
-/// Refuses a call for which runners have no place because of limits that they
-/// named.
+/// Refuses a call that no runner may get because of the rate limits that the
+/// runners set.
 void
 ForwardRun::fail_limited()
 {
     ++m_state.counters.calls_limited;
     throw Error(ErrorCode::UpstreamsLimited,
-                "runners get as many calls as they named as their limits",
+                "runners have reached the rate limits that they set",
                 RunState::NotDispatched, time_to_chance());
 }
 
@@ -102,7 +106,7 @@
 ForwardRun::fail(Outcome outcome)
 {
     if (m_runs > 0)
-        throw Error(ErrorCode::UpstreamFailed, "the answer broke off",
+        throw Error(ErrorCode::UpstreamFailed, "the answer is incomplete",
                     RunState::MayHaveRun);
     switch (outcome) {
     case Outcome::TimedOut:
@@ -117,8 +121,8 @@
             fail_limited();
         throw Error(ErrorCode::NoUpstream,
                     m_next_available.backoff_ends_at
-                        ? "runners asked to back off"
-                        : "no runner takes work",
+                        ? "runners asked for a backoff"
+                        : "no runner accepts calls",
                     RunState::NotDispatched, time_to_chance());
     }
 }
--- a/src/serve/forward/forward_instance.cpp
+++ b/src/serve/forward/forward_instance.cpp
@@ -18,14 +18,14 @@
 {
 
 constexpr Micros step = std::chrono::milliseconds(50);
-/// The balancer asks every second, and takes an instance out after two
-/// questions without success; callers come until then, and longer where too
-/// few instances of the zone are left.
+/// Time during which a stopping instance still serves calls. The load balancer
+/// checks every second and removes an instance after two failed checks. Callers
+/// arrive until then, and longer if too few instances of the zone are left.
 constexpr Micros balancer_lag = std::chrono::milliseconds(2600);
-/// Then calls that come on kept connections are refused, and the stop ends
-/// after this time without one.
+/// After that, calls on persistent connections are refused, and the stop ends
+/// when none has arrived for this time.
 constexpr Micros quiet_time = std::chrono::milliseconds(400);
-/// The stop ends so long before the platform would kill the process.
+/// The stop ends this long before the platform would kill the process.
 constexpr Micros kill_margin = std::chrono::milliseconds(500);
 
 } // namespace
@@ -48,7 +48,7 @@
 {
 }
 
-/// Takes in what a look at the port of a runner found that broke calls off.
+/// Records the result of a check of the port of a runner that broke calls.
 void
 ForwardInstance::looked(const ProbeTarget& port, PortLook look)
 {
@@ -85,7 +85,7 @@
     const TimePoint last_taken = std::min(began + balancer_lag, last);
     while (monotonic_now() < last_taken)
         std::this_thread::sleep_for(step);
-    // What is taken from here on might not end in time.
+    // Calls accepted from here on might not end in time.
     m_state.refusing = true;
     m_server.stop_listening();
     const auto quiet = [&] {
@@ -94,8 +94,9 @@
     };
     while (!quiet() && monotonic_now() < last)
         std::this_thread::sleep_for(step);
-    // A call that came in since that look is answered as well; a later one is
-    // not read, and its caller knows by the close that it did not run.
+    // A call that arrived since the last check is answered as well. A later
+    // one is not read: its caller knows from the closed connection that it did
+    // not run.
     m_server.stop_reading();
     while (m_server.open_calls() > 0 && monotonic_now() < last)
         std::this_thread::sleep_for(step);
--- a/src/serve/forward/forward_instance.h
+++ b/src/serve/forward/forward_instance.h
@@ -19,15 +19,15 @@
 namespace crosslink
 {
 
-/// One instance that forwards calls: its state, threads and servers.
+/// One instance that forwards calls, with its state, threads and servers.
 class ForwardInstance
 {
 public:
     ForwardInstance(const ForwardSettings& settings, ForwardPorts ports);
 
-    /// Serves until `stop_asked` returns true, then stops in order: no
-    /// readiness first, then no new connections, and the end once no call is
-    /// open or the time for a stop is over.
+    /// Serves until `stop_asked` returns true, then shuts down in steps: it
+    /// reports that it is not ready, later stops accepting connections, and
+    /// returns once no call is open or the time for a stop is over.
     void serve(const std::function<bool()>& stop_asked);
 
 private:
--- a/src/serve/forward/forward_path.cpp
+++ b/src/serve/forward/forward_path.cpp
@@ -20,9 +20,10 @@
 namespace
 {
 
-/// A caller that was refused for want of a configuration comes back after this.
+/// Retry time for a caller that was refused because this instance has no
+/// configuration yet.
 constexpr Micros come_back = std::chrono::milliseconds(500);
-/// Another instance takes the call at once.
+/// Retry time for a caller whose call another instance accepts at once.
 constexpr Micros at_once = std::chrono::milliseconds(50);
 
 /// Returns `span` as a Retry-After value: seconds with fractions.
@@ -70,7 +71,8 @@
     }
 }
 
-/// Waits a moment, at a start, until calls can be served.
+/// Waits for the configuration in an instance that has just started; see
+/// wait_for_configuration().
 void
 ForwardPath::await_configuration()
 {
@@ -82,17 +84,18 @@
 ForwardPath::forward(const ForwardedCall& call, CallerLink& link)
 {
     if (m_state.refusing)
-        throw Error(ErrorCode::NotReady, "this instance stops",
+        throw Error(ErrorCode::NotReady, "this instance is shutting down",
                     RunState::NotDispatched, at_once);
     await_configuration();
-    // One version from start to end: a change takes hold with the next call.
+    // The call uses one version of the configuration from start to end. A
+    // change takes effect with the next call.
     const auto map = m_state.map();
     if (!m_state.knows_fleet())
-        throw Error(ErrorCode::NotReady, "this instance knows no configuration",
+        throw Error(ErrorCode::NotReady, "this instance has no configuration",
                     RunState::NotDispatched, come_back);
     const ServiceRoute* route = map->find_route(call.host, call.path());
     if (!route)
-        throw Error(ErrorCode::UnknownPath, "no route");
+        throw Error(ErrorCode::UnknownPath, "no route for this host and path");
     const AccountSettings* holder = map->find_account(call.api_key);
     if (!holder && map->needs_key && !route->open)
         throw Error(ErrorCode::UnknownKey, "no account has this key");
--- a/src/serve/forward/forward_path.h
+++ b/src/serve/forward/forward_path.h
@@ -13,13 +13,14 @@
 class Error;
 struct ForwardedCall;
 
-/// The way of one forwarded call: route, account, runner, answer.
+/// Handles forwarded calls: finds the route and the account of each, and sends
+/// it to a runner.
 class ForwardPath
 {
 public:
     ForwardPath(ForwardState& state, KeptAsker& kept);
 
-    /// Serves one call, and answers the caller in every case.
+    /// Serves one call. The caller gets an answer in every case.
     void serve(const ForwardedCall& call, CallerLink& link);
 
 private:
@@ -30,7 +31,8 @@
     KeptAsker& m_kept;
 };
 
-/// Answers a call that failed, with when to come back where it did not run.
+/// Sends the answer for a call that failed with `failure`: its status, its name
+/// as the body, and its retry time, if it has one, as Retry-After.
 void answer_failure(CallerLink& link, const Error& failure);
 
 } // namespace crosslink
--- a/src/serve/forward/forward_ports.h
+++ b/src/serve/forward/forward_ports.h
@@ -14,8 +14,8 @@
 class RolloutBook;
 class RunnerOrders;
 
-/// The outside parties of an instance that forwards calls. All of them
-/// outlive it.
+/// The interfaces to the platform, the runners and the stores that an instance
+/// which forwards calls uses. They must outlive the instance.
 struct ForwardPorts {
     const CallWire& wire;
     FleetFeed& feed;
--- a/src/serve/forward/forward_run.cpp
+++ b/src/serve/forward/forward_run.cpp
@@ -22,17 +22,19 @@
 namespace
 {
 
-/// A runner that takes no connection in this time is passed over.
+/// A runner that does not accept a connection within this time is skipped.
 constexpr Micros connect_time = std::chrono::milliseconds(400);
-/// A runner that refused has no room: it gets nothing for this time.
+/// A runner that refused a call has no room: it gets no call for this time.
 constexpr Micros refusal_hold = std::chrono::milliseconds(120);
-/// A runner that refuses while new weights are out is loading them.
+/// The same for a refusal while newer weights than the runner's are named: the
+/// runner is loading them.
 constexpr Micros loading_hold = std::chrono::milliseconds(700);
-/// A kept connection that says nothing for the time left over this may have
-/// fallen silent for good: the rest is enough for a fresh one, and a sound
-/// runner takes far less.
+/// A reused connection on which nothing arrives for the time left divided by
+/// this may be dead. The rest of the time is enough for a new connection, and
+/// a healthy runner answers far sooner.
 constexpr int part_silent = 2;
-/// Least time between two looks for a runner: others may take its first place.
+/// Least time between two searches for a runner: the first slot that a runner
+/// has free may go to another call.
 constexpr Micros wait_step = std::chrono::milliseconds(15);
 } // namespace
 
@@ -51,7 +53,7 @@
 
 ForwardRun::~ForwardRun() = default;
 
-/// Returns the KV memory that the call takes at its runner, in tokens.
+/// Returns the KV memory that the call occupies at its runner, in tokens.
 std::uint64_t
 ForwardRun::resident_tokens() const
 {
@@ -96,8 +98,8 @@
     }
 }
 
-/// Chooses a runner, at once or after a wait. Looks for none where the call
-/// will be sent to none.
+/// Chooses a runner, at once or after a wait. Returns false if there is none,
+/// or if the call's request is blocked.
 bool
 ForwardRun::find_runner()
 {
@@ -107,7 +109,8 @@
     return m_choice.choose() || wait_for_runner();
 }
 
-/// Refuses a call that was sent nowhere yet and would wait for too long.
+/// Throws Error if the call has not been sent yet and would wait too long in
+/// the chosen runner's queue.
 void
 ForwardRun::refuse_beyond_limit()
 {
@@ -118,18 +121,19 @@
     queued.objective = m_route.objective;
     queued.waited = monotonic_now() - m_call.received_at;
     if (const auto retry_after = QueueLimit::refusal(queued, random_bits()))
-        throw Error(ErrorCode::NoUpstream, "runners have too much to do",
+        throw Error(ErrorCode::NoUpstream,
+                    "the queues of the runners are too long",
                     RunState::NotDispatched, *retry_after);
 }
 
-/// Waits for a runner that is known to take work again in time for an answer
-/// within the objective. Where none is, waiting would only hold the caller up:
-/// it is told at once when to come back.
+/// Waits for a runner that is known to accept calls again early enough for an
+/// answer within the objective. Returns false at once if there is none: the
+/// caller gets a retry time instead of a wait that can't succeed.
 bool
 ForwardRun::wait_for_runner()
 {
     for (;;) {
-        // A runner that refused before may have room by then.
+        // A runner that refused the call earlier may have room by then.
         if (m_runs == 0)
             m_choice.pass_over_none();
         const TimePoint latest = latest_place();
@@ -143,9 +147,10 @@
     }
 }
 
-/// Returns until when a place at a runner is of use. An account that had more
-/// than its part leaves the later half of the places to the others, who would
-/// find all of them taken.
+/// Returns the latest time at which a free slot at a runner is still useful to
+/// the call. An account that used more than its share takes slots in the first
+/// half of the remaining time only: the other accounts would find all slots
+/// reserved otherwise.
 TimePoint
 ForwardRun::latest_place() const
 {
@@ -182,7 +187,7 @@
     return outcome;
 }
 
-/// Takes note that the call is sent to the chosen runner.
+/// Records that the call is sent to the chosen runner.
 void
 ForwardRun::note_sent()
 {
@@ -195,8 +200,7 @@
     ++m_state.counters.sends;
 }
 
-/// Takes note that the call ended at the chosen runner, with or without an
-/// answer.
+/// Records that the call ended at the chosen runner, with or without an answer.
 void
 ForwardRun::note_ended(Outcome outcome)
 {
@@ -221,8 +225,8 @@
         m_prompt.not_run();
 }
 
-/// Looks whether the runner ended under the call, where its connection broke.
-/// One that says nothing would say nothing to that either.
+/// Checks whether the runner's process exited, if the connection broke. A
+/// runner that sends nothing would not answer this check either.
 void
 ForwardRun::look_at_runner(Outcome outcome, bool silent)
 {
@@ -230,8 +234,8 @@
         m_crashes.broken(m_choice.pick());
 }
 
-/// Takes note of a runner that takes no connection or broke one off. Returns
-/// whether nothing at all comes from it.
+/// Records that the chosen runner did not accept a connection or broke it.
+/// Returns whether the failure is a timeout: the runner sends nothing at all.
 bool
 ForwardRun::note_lost_contact(const std::exception& failure)
 {
@@ -250,7 +254,8 @@
 {
     m_connected_at = monotonic_now();
     m_silent_at.reset();
-    // Kept connections fall silent together: a repeat has no time for that.
+    // Idle connections die together: a retry opens a new one, as it has no
+    // time to find out that it got another dead one.
     if (m_runs == 0)
         m_connection =
             m_state.connections.take(m_choice.pick().address, m_connected_at);
--- a/src/serve/forward/forward_run.h
+++ b/src/serve/forward/forward_run.h
@@ -28,54 +28,62 @@
 
 class CallConnection;
 
-/// Carries one call to a runner, and to others where that is allowed, and
-/// its answer back.
+/// Sends one call to a runner, retries it at other runners as far as the route
+/// allows, and relays the answer to the caller.
 class ForwardRun
 {
 public:
-    /// All of them outlive it. `holder` is null on open routes.
+    /// All references must outlive this object. `holder` is the account of the
+    /// call; null on open routes.
     ForwardRun(ForwardState& state, KeptAsker& kept, const ForwardedCall& call,
                const ServiceRoute& route, const AccountSettings* holder);
     ~ForwardRun();
 
-    /// Returns once the answer is out or the caller went away. Throws Error
-    /// where nothing was sent to the caller.
+    /// Returns once the answer was sent or the caller disconnected. Throws
+    /// Error if the call failed and nothing was sent to the caller.
     void run(CallerLink& link);
 
-    /// Runners that the call was sent to, and the last of them.
+    /// Returns how many times the call was sent to a runner.
     std::uint32_t sends() const { return m_sends; }
+    /// Returns the id of the runner that was chosen last.
     const std::string& runner() const { return m_choice.pick().id; }
-    /// Returns the version of the weights that the last send asked for; 0 for
-    /// none.
+    /// Returns the version of the weights that the last send asked for; 0 if
+    /// it asked for none.
     std::uint64_t weights() const { return m_choice.pick().version; }
     bool caller_gone() const { return m_caller_gone; }
-    /// Time from the call's arrival to its first event; 0 where there is none.
+    /// Returns the time from the call's arrival to its first event; 0 if there
+    /// was none.
     Micros first_event() const { return m_first_event; }
-    /// How long the last runner was expected to need before it took the call.
+    /// Returns how long the last runner was expected to take before it starts
+    /// on the call.
     Micros expected_wait() const { return m_choice.pick().wait; }
-    /// What was done with the shared parts of the prompt, for the log.
+    /// See CallPrompt::summary().
     std::string kept_summary() const { return m_prompt.summary(); }
 
 private:
-    /// What became of the call at one runner.
+    /// Result of sending the call to one runner.
     enum class Outcome {
-        Done,       ///< The answer is out.
-        CallerGone, ///< There is nobody to answer.
-        NotSent,    ///< No byte of it reached the runner.
-        NotRun,     ///< The runner's own word.
-        /// As NotRun: the runner has other weights, or is another one.
+        Done,       ///< The answer was sent to the caller.
+        CallerGone, ///< The caller disconnected.
+        NotSent,    ///< No byte of the call reached the runner.
+        NotRun,     ///< The runner answered that it did not run the call.
+        /// As NotRun: the runner has other weights, or is another runner than
+        /// the one that the call was meant for.
         Misdirected,
-        Broken,   ///< It may have run, and there is no whole answer.
+        Broken,   ///< The call may have run; the answer is not complete.
         TimedOut, ///< As Broken, and no time is left.
-        /// As Broken: its runner's weights had to give way before it began.
+        /// As Broken: the call was withdrawn before its first event because
+        /// the runner's weights were about to be forbidden.
         Outdated,
-        /// As Broken: a kept connection said nothing. A repeat was granted.
+        /// As Broken: no byte arrived on a reused connection. A retry was
+        /// granted.
         Silent,
-        /// It ran and failed, by the runner's word. A repeat was granted.
+        /// The runner answered that it ran the call and failed. A retry was
+        /// granted.
         Failed,
     };
 
-    /// An answer by which a runner said that the call failed there.
+    /// An answer in which a runner reports that the call failed there.
     struct FailedAnswer {
         AnswerHead head;
         std::string body;
@@ -132,16 +140,16 @@
     CrashWatch m_crashes;
     AnswerIntake m_intake;
     std::unique_ptr<CallConnection> m_connection;
-    TimePoint m_sent_at{};      ///< To the runner of the last send.
-    TimePoint m_connected_at{}; ///< When it was taken or made.
-    /// When a kept connection counts as silent; nothing once it has answered.
+    TimePoint m_sent_at{};      ///< Time of the last send.
+    TimePoint m_connected_at{}; ///< When m_connection was reused or opened.
+    /// When a reused connection counts as silent; nothing once it has answered.
     std::optional<TimePoint> m_silent_at;
-    NextAvailability m_next_available; ///< As of the last look for a runner.
+    NextAvailability m_next_available; ///< As of the last search for a runner.
     std::uint32_t m_sends = 0;
     std::uint32_t m_runs = 0; ///< Sends that may have run.
-    /// A runner's failure that goes to the caller where no repeat does better.
+    /// A runner's failure, sent to the caller if no retry succeeds.
     std::optional<FailedAnswer> m_failed_answer;
-    bool m_answered_failure = false; ///< By the last answer's own word.
+    bool m_answered_failure = false; ///< The last answer reports a failure.
     bool m_caller_gone = false;
     Micros m_first_event{0};
 };
--- a/src/serve/forward/forward_server.cpp
+++ b/src/serve/forward/forward_server.cpp
@@ -30,10 +30,11 @@
 constexpr int success = 200;
 constexpr int unavailable = 503;
 constexpr int small_server_threads = 8;
-/// Memory of one connection with its thread, measured at about 60 KB.
+/// One connection with its thread takes about 60 KB of memory.
 constexpr std::uint64_t connections_per_mb = 8;
 constexpr std::uint64_t most_threads = 2000;
-/// Part of the descriptors for callers; runners take the rest.
+/// The descriptor limit divided by this is for callers; the rest is for
+/// connections to runners.
 constexpr std::uint64_t part_for_callers = 2;
 
 HttpServerRules
@@ -76,12 +77,13 @@
         head.headers.push_back({name, value});
     }
     if (bytes > most_bytes)
-        throw Error(ErrorCode::HeadersTooLarge, "the head is too large");
+        throw Error(ErrorCode::HeadersTooLarge,
+                    "the head of the request is too large");
     return head;
 }
 
-/// Throws Error(BadRequest) where the length of the body is not clear: a
-/// request whose length can be read in two ways could hide another one.
+/// Throws Error(BadRequest) if the length of the body is ambiguous: a request
+/// whose length can be read in two ways could hide another request.
 void
 check_framing(const Poco::Net::HTTPServerRequest& request)
 {
@@ -96,18 +98,20 @@
     const auto encodings = count("Transfer-Encoding");
     if (lengths > 1 || encodings > 1 || (lengths > 0 && encodings > 0) ||
         (encodings > 0 && !chunked))
-        throw Error(ErrorCode::BadRequest, "the length is ambiguous");
+        throw Error(ErrorCode::BadRequest,
+                    "the length of the body is ambiguous");
     if (lengths == 1) {
         const std::string& text = request.get("Content-Length");
         if (text.empty() ||
             text.find_first_not_of("0123456789") != std::string::npos)
-            throw Error(ErrorCode::BadRequest, "the length is no number");
+            throw Error(ErrorCode::BadRequest,
+                        "Content-Length is not a number");
     }
 }
 
-/// Throws Error(BadRequest) where a chunked body is not whole. POCO takes
-/// chunks that break off or are malformed for the end of a body. Then bytes are
-/// left over, or the caller has gone.
+/// Throws Error(BadRequest) if a chunked body is incomplete. POCO takes a
+/// truncated or malformed chunk for the end of the body; then unread bytes are
+/// left, or the caller has disconnected.
 void
 check_chunked_end(Poco::Net::HTTPServerRequest& request)
 {
@@ -119,7 +123,7 @@
         ::recv(static_cast<int>(session.socket().impl()->sockfd()), &byte, 1,
                MSG_PEEK | MSG_DONTWAIT);
     if (!left.empty() || more >= 0)
-        throw Error(ErrorCode::BadRequest, "the body is not whole");
+        throw Error(ErrorCode::BadRequest, "the chunked body is incomplete");
 }
 
 } // namespace
@@ -128,7 +132,8 @@
     : m_state(state), m_path(path)
 {
     const ForwardSettings& settings = state.settings;
-    // Before readiness is told: else calls that come upon it are refused.
+    // Started before the readiness server: calls that arrive once the instance
+    // reports that it is ready would be refused otherwise.
     m_callers = std::make_unique<HttpServer>(
         settings.bind, caller_rules(state),
         [this](auto& request, auto& answer) { handle(request, answer); });
@@ -194,7 +199,7 @@
         LogLine("request_refused")
             .field("error", error_name(failure.code()))
             .field("why", failure.what());
-        // What follows on this connection may be the rest of the request.
+        // The next bytes on this connection may be the rest of the request.
         answer.setKeepAlive(false);
         answer_failure(link, failure);
     } catch (const std::exception& failure) {
--- a/src/serve/forward/forward_server.h
+++ b/src/serve/forward/forward_server.h
@@ -15,21 +15,21 @@
 namespace crosslink
 {
 
-/// The servers of one instance: for callers, for the balancer's question,
-/// and for metrics.
+/// The HTTP servers of one instance: for callers, for the load balancer's
+/// readiness checks, and for metrics.
 class ForwardServer
 {
 public:
     ForwardServer(ForwardState& state, ForwardPath& path);
     ~ForwardServer();
 
-    /// Takes no new connections of callers.
+    /// Stops accepting connections from callers.
     void stop_listening();
-    /// Takes no further call.
+    /// Stops reading calls on the open connections.
     void stop_reading();
     /// Returns the number of calls that are being read or answered.
     std::uint32_t open_calls() const;
-    /// When the latest call came in.
+    /// Returns when the latest call arrived.
     TimePoint latest_call() const { return m_latest; }
 
 private:
--- a/src/serve/forward/forward_settings.cpp
+++ b/src/serve/forward/forward_settings.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-/// Adds an option whose variable has the flag's name.
+/// Adds an option whose environment variable is named after the flag.
 template<typename Value>
 CLI::Option*
 add(CLI::App& verb, const std::string& flag, Value& value,
@@ -33,7 +33,7 @@
     add(verb, "--zone", settings.zone, "Availability zone")->required();
     add(verb, "--bind", settings.bind, "ip:port for callers")->required();
     add(verb, "--ready-bind", settings.ready_bind,
-        "ip:port for the balancer's question")
+        "ip:port for readiness checks")
         ->required();
     add(verb, "--peer-ip", settings.peer_ip, "Address for other instances")
         ->required();
@@ -42,7 +42,7 @@
         ->check(CLI::Range(1, 65'535));
     add(verb, "--platform", settings.platform, "ip:port of the store")
         ->required();
-    add(verb, "--seeds", settings.seeds, "Instances to begin with")
+    add(verb, "--seeds", settings.seeds, "Hosts of instances to contact first")
         ->delimiter(',');
     add(verb, "--zone-regions", settings.zone_regions,
         "Region of each zone, as zone:region")
@@ -66,7 +66,7 @@
     add(verb, "--stop-ms", settings.stop_ms, "Time for a planned stop, ms")
         ->default_val(8000)
         ->check(CLI::Range(500, 600'000));
-    add(verb, "--lease-ms", settings.lease_ms, "Lease of duties, ms")
+    add(verb, "--lease-ms", settings.lease_ms, "Length of a duty's lease, ms")
         ->default_val(2000)
         ->check(CLI::Range(1000, 600'000));
     add(verb, "--order-spacing-ms", settings.order_spacing_ms,
@@ -77,11 +77,11 @@
         "Time in which named weights reach all runners, ms")
         ->default_val(10'000)
         ->check(CLI::Range(1000, 3'600'000));
-    add(verb, "--retry-ratio", settings.retry_ratio, "Repeats for each call")
+    add(verb, "--retry-ratio", settings.retry_ratio, "Retries per call")
         ->default_val(0.2)
         ->check(CLI::Range(0.0, 1.0));
     add(verb, "--retry-allowance", settings.retry_allowance,
-        "Repeats beside the ratio, whole fleet and window")
+        "Retries beyond the ratio, per window for the fleet")
         ->default_val(50)
         ->check(CLI::Range(0.0, 1e6));
     add(verb, "--retry-window-ms", settings.retry_window_ms,
@@ -89,11 +89,12 @@
         ->default_val(10'000)
         ->check(CLI::Range(1000, 600'000));
     add(verb, "--warm-up-ratio", settings.warm_up_ratio,
-        "Calls to a runner that warms up, for each that it bears; 0: no limit")
+        "Calls to a warming-up runner, per call that it can process; 0: no "
+        "limit")
         ->default_val(0)
         ->check(CLI::Range(0.0, 100.0));
     add(verb, "--warm-up-allowance", settings.warm_up_allowance,
-        "Calls to a runner that warms up beside the ratio, in a second")
+        "Calls per second to a warming-up runner beyond the ratio")
         ->default_val(0)
         ->check(CLI::Range(0.0, 1e6));
     add(verb, "--log-level", settings.log_level, "Level of the log")
--- a/src/serve/forward/forward_settings.h
+++ b/src/serve/forward/forward_settings.h
@@ -23,41 +23,40 @@
 namespace crosslink
 {
 
-/// A call may wait at its runner before it begins: it is sent to replaced
-/// weights only until so long before they are forbidden.
+/// Calls are sent to replaced weights only until this long before these are
+/// forbidden, since a call may wait in its runner's queue before it begins.
 constexpr Micros begin_margin = std::chrono::milliseconds(2000);
 
 /// Names of availability zones.
 using ZoneSet = std::set<std::string, std::less<>>;
 
-/// Everything that an instance which forwards calls is told at its start.
-/// Each field is a flag with an environment variable; see
-/// docs/OPERATIONS.md.
+/// The settings of an instance that forwards calls. Each field has a command
+/// line flag and an environment variable; see docs/OPERATIONS.md.
 struct ForwardSettings {
     std::string name;       ///< Of this instance; unique in the fleet.
     std::string zone;       ///< Availability zone.
     std::string bind;       ///< "ip:port" for callers.
-    std::string ready_bind; ///< "ip:port" for the balancer's question.
+    std::string ready_bind; ///< "ip:port" for readiness checks.
     std::string peer_ip;    ///< Address for the other instances.
     std::uint32_t peer_port = 0;
     std::string platform;           ///< "ip:port" of the platform's store.
-    std::vector<std::string> seeds; ///< Hosts of instances to begin with.
+    std::vector<std::string> seeds; ///< Hosts of instances to contact first.
     std::string metrics_bind;       ///< "ip:port"; empty for none.
-    std::uint64_t memory_mb = 0;    ///< Limit of the process.
-    std::uint64_t descriptors = 0;  ///< Limit of the process.
-    double link_mbps = 0;           ///< Limit of its network link.
+    std::uint64_t memory_mb = 0;    ///< Memory limit of the process, MB.
+    std::uint64_t descriptors = 0;  ///< Descriptor limit of the process.
+    double link_mbps = 0;           ///< Capacity of the network link, Mbit/s.
     std::uint64_t stop_ms = 0;      ///< From the signal to the end of a stop.
-    std::uint64_t lease_ms = 0;     ///< Of duties.
-    /// Least time between the acts of two holders of a duty.
+    std::uint64_t lease_ms = 0;     ///< Length of a duty's lease.
+    /// Least time between the actions of two holders of a duty.
     std::uint64_t order_spacing_ms = 0;
-    /// Time after which all runners have weights that were named.
+    /// Time after which all runners must have loaded weights that were named.
     std::uint64_t weights_ms = 0;
     double retry_ratio = 0;
     double retry_allowance = 0;
     std::uint64_t retry_window_ms = 0;
     double warm_up_ratio = 0;     ///< See warm_up_limit().
     double warm_up_allowance = 0; ///< See warm_up_limit().
-    /// Which region each zone is in, as "zone:region".
+    /// The region of each zone, as "zone:region".
     std::vector<std::string> zone_regions;
     std::string log_level;
 
@@ -71,7 +70,7 @@
     {
         return std::chrono::milliseconds(weights_ms);
     }
-    /// Time after which no call is sent to weights that were replaced.
+    /// Returns the time after which no call is sent to replaced weights.
     Micros sending_bound() const
     {
         return std::max(weights_bound() - begin_margin, Micros{0});
@@ -81,16 +80,16 @@
         return {retry_ratio, retry_allowance,
                 std::chrono::milliseconds(retry_window_ms)};
     }
-    /// Returns how many calls all instances may send in a second to a runner
-    /// that bears `per_second` while it warms up; 0 for no limit.
+    /// Returns how many calls per second all instances together may send to a
+    /// runner that can process `per_second` while it warms up; 0 for no limit.
     double warm_up_limit(double per_second) const
     {
         if (warm_up_ratio == 0 || per_second == 0)
             return 0;
         return per_second * warm_up_ratio + warm_up_allowance;
     }
-    /// Returns the zones of the regions that both lists name; an empty list
-    /// names all. Nothing where both are empty.
+    /// Returns the zones of the regions that are in both lists; an empty list
+    /// stands for all regions. Nothing if both are empty.
     std::optional<ZoneSet>
     home_zones(const std::vector<std::string>& of_route,
                const std::vector<std::string>& of_account) const;
@@ -104,8 +103,8 @@
     }
 };
 
-/// Adds an option with its variable and check to `verb` for each field. A
-/// value out of range ends the program with a message that names it.
+/// Adds an option for each field to `verb`, with its environment variable and
+/// check. A value out of range ends the program with a message that names it.
 void add_forward_options(CLI::App& verb, ForwardSettings& settings);
 
 } // namespace crosslink
--- a/src/serve/forward/forward_state.cpp
+++ b/src/serve/forward/forward_state.cpp
@@ -16,20 +16,22 @@
 namespace
 {
 
-/// Most versions of a model that instances tell each other.
+/// Greatest number of versions of a model that instances report to each other.
 constexpr std::size_t most_told = 32;
 
-/// So long instances tell each other that a runner may start anew. Two
-/// exchanges on the way up, and two down, take 0.6 s.
+/// How long instances report to each other that a runner may have restarted.
+/// Two exchanges up the tree and two down take 0.6 s.
 constexpr Micros lost_contact_told = std::chrono::milliseconds(1500);
 
-/// An act must arrive well before the lease can lapse.
+/// An action may begin only if the lease lasts for longer than this: it must
+/// arrive well before the lease can lapse.
 constexpr Micros act_time = std::chrono::milliseconds(700);
 
-/// Returns the versions of which other instances must know: those named after
-/// `since`, and the one before, since which the older ones are forbidden. Where
-/// one was left out, a fresh instance took the next for the first newer one,
-/// and sent calls to replaced weights for as long as lay between the two.
+/// Returns the versions that other instances must know: those named after
+/// `since`, and the one before them, which forbids the older ones. Without that
+/// one, an instance that has just started would take the next version for the
+/// first newer one, and send calls to replaced weights for the time between the
+/// two.
 std::span<const NamedWeights>
 told_versions(const WeightsHistory& history, TimePoint since)
 {
--- a/src/serve/forward/forward_state.h
+++ b/src/serve/forward/forward_state.h
@@ -43,25 +43,30 @@
 namespace crosslink
 {
 
-/// What the platform told of the fleet.
+/// The state of the fleet as read from the platform.
 struct FleetView {
-    /// Orders are given again `settle` after the platform's return.
+    /// Runners are ordered to load weights again `settle` after the platform
+    /// has become reachable.
     explicit FleetView(Micros settle) : reach(settle) {}
 
     std::shared_ptr<const ServiceMap> map; ///< Null before the first one.
     bool runners_listed = false; ///< The runners were read at least once.
     std::map<std::string, WeightsHistory, std::less<>> weights; ///< By model.
-    /// What the platform keeps of them, by model.
+    /// The versions of weights that the platform has recorded, by model.
     std::map<std::string, RolloutRecord, std::less<>> rollouts;
     std::map<std::string, InstanceInfo, std::less<>> instances; ///< By name.
-    std::uint64_t instances_version = 0; ///< Grows with each change of them.
-    std::string coordinator; ///< Peer address of the duty's holder; or empty.
-    HolderHistory holders;   ///< Of the duty.
+    std::uint64_t instances_version = 0; ///< Grows when `instances` changes.
+    /// Peer address of the instance that holds the coordinator duty, as the
+    /// platform names it; empty for none.
+    std::string coordinator;
+    HolderHistory holders; ///< Of the coordinator duty.
     PlatformAvailability reach;
-    /// As another instance told it since; empty for none.
+    /// Peer address of the holder that another instance reported after the
+    /// platform's last report; empty for none.
     std::string peer_reported_coordinator;
 
-    /// Returns where questions for the duty's holder go; empty for nowhere.
+    /// Returns the address for requests to the holder of the coordinator duty;
+    /// empty if no holder is known.
     const std::string& coordinator_address() const
     {
         return peer_reported_coordinator.empty() ? coordinator
@@ -69,16 +74,18 @@
     }
 };
 
-/// Where an instance stands in the fleet's tree.
+/// The position of an instance in the fleet's tree.
 struct TreePosition {
-    bool is_parent = false;           ///< Others ask it, though it has no duty.
+    /// Other instances ask this one, although it does not hold the coordinator
+    /// duty.
+    bool is_parent = false;
     std::vector<std::string> parents; ///< See FleetTree::parents().
 };
 
-/// The weights of a model that a call may begin on.
+/// The versions of a model's weights that a call may begin on.
 struct WeightsChoice {
-    std::uint64_t newest = 0; ///< Of those that were named; 0 for none.
-    std::uint64_t least = 0;  ///< Older ones had to give way.
+    std::uint64_t newest = 0; ///< Newest version that was named; 0 for none.
+    std::uint64_t least = 0;  ///< Older versions are forbidden.
 };
 
 /// Counters of forwarded calls.
@@ -92,29 +99,29 @@
     Counter callers_gone{0};
     Counter sends{0};
     Counter repeats{0};
-    Counter runner_ends{0}; ///< Calls under which runners ended.
+    Counter runner_ends{0}; ///< Calls in progress at runners that exited.
     Counter requests_blocked{0};
     Counter calls_blocked{0};
-    Counter limits_changed{0};  ///< Of runners, as heard here.
-    Counter runners_leaving{0}; ///< That said so in answers.
-    Counter runner_backoffs{0}; ///< That runners asked for here.
-    Counter calls_limited{0};   ///< Refused for limits of runners.
-    Counter parts_fetched{0};
-    Counter parts_saved{0};
-    Counter parts_read{0};
-    Counter runners_limited{0}; ///< With a limit in force now.
+    Counter limits_changed{0};  ///< Changes of runners' limits seen here.
+    Counter runners_leaving{0}; ///< Runners that reported that they will exit.
+    Counter runner_backoffs{0}; ///< Backoffs that runners asked for.
+    Counter calls_limited{0};   ///< Refused because of runners' limits.
+    Counter parts_fetched{0};   ///< Prompt parts fetched from a store.
+    Counter parts_saved{0};     ///< Prompt parts read and saved to a store.
+    Counter parts_read{0};      ///< Prompt parts read and not saved.
+    Counter runners_limited{0}; ///< Gauge: runners with a limit in force.
     TimeSummary first_event;
     TimeSummary whole_answer;
-    TimeSummary kept_question;
-    TimeSummary load_age; ///< Of others, when it was learned.
-    TimeSummary news_age; ///< Of the platform's news, when they were learned.
+    TimeSummary kept_question; ///< Time of a lookup of prompt parts.
+    TimeSummary load_age;      ///< Age of other instances' load on arrival.
+    TimeSummary news_age;      ///< Age of the platform's changes on arrival.
 
-    /// Returns all of them as Prometheus text.
+    /// Returns all counters in the Prometheus text format.
     std::string text() const;
 };
 
-/// Everything that the threads of one instance share. All of it is in memory
-/// and may be lost at any time.
+/// The state that the threads of one instance share. It is held in memory
+/// only and may be lost at any time.
 struct ForwardState {
     ForwardState(const ForwardSettings& settings_in, ForwardPorts ports_in);
 
@@ -123,122 +130,135 @@
     Guarded<FleetView> fleet;
     Guarded<RunnerTable> runners;
     Guarded<RetryWindow> retries;
-    Guarded<FairShareTracker> turns; ///< At runners that named limits.
+    Guarded<FairShareTracker> turns; ///< Fair shares at runners with limits.
     Guarded<CrashHistory> crashes;
     Guarded<UnresolvedFailures> breaks;
-    Nudger unresolved_failure_added; ///< Reaches the looks at ports, while they
-                                     ///< run.
+    Nudger unresolved_failure_added; ///< Wakes the thread that checks ports, if
+                                     ///< it runs.
     Guarded<FetchDelayTracker> fetches;
     Guarded<KeptReplica> kept;
     Guarded<DutyLease> coordinator_lease;
     CallConnections connections;
-    /// What the map in force lets callers take.
+    /// Timeouts for the connections of callers, from the map in force.
     const std::shared_ptr<ConnectionTimes> caller_times =
         std::make_shared<ConnectionTimes>();
     ForwardCounters counters;
     std::atomic<bool> stopping{false}; ///< A planned stop has begun.
-    std::atomic<bool> refusing{false}; ///< No further call is taken.
-    LearnedSignal learned;             ///< The configuration and the runners.
+    std::atomic<bool> refusing{false}; ///< New calls are refused.
+    /// Notified when the configuration and the runners have been read.
+    LearnedSignal learned;
     const TimePoint started_at;
 
-    /// Returns for how long this process has run.
+    /// Returns how long this process has been running.
     Micros since_start() const;
+    /// Returns the configuration in force; null before the first one.
     std::shared_ptr<const ServiceMap> map();
     /// Returns which weights of `model` a call may begin on at `now`.
     WeightsChoice weights_choice(std::string_view model, TimePoint now);
-    /// Returns for how long `version` of `model` has been replaced at `now`,
-    /// without the time that does not count; nothing where it is the newest.
+    /// Returns how long before `now` the first version above `version` of
+    /// `model` was named, without the time during which the platform was
+    /// unreachable for the fleet; nothing if no newer version was named.
     std::optional<Micros> replaced_for(std::string_view model,
                                        std::uint64_t version, TimePoint now);
-    /// Returns whether this instance gets the platform's answers.
+    /// Returns whether this instance gets answers from the platform.
     bool reaches_platform();
-    /// Returns how long ago this instance heard of the newest versions of
-    /// each model, those that calls may still run on.
+    /// Returns how long ago this instance learned of the newest versions of
+    /// each model: those that calls may still run on.
     std::vector<WeightsAge> weights_ages(TimePoint now);
-    /// Takes in when another instance heard of weights, as of `now`.
+    /// Merges the times at which another instance learned of weights. Their
+    /// ages count back from `now`.
     void merge_peer_report(const std::vector<WeightsAge>& weights,
                            TimePoint now);
-    /// Returns the runners that may start anew, as far as is known lately.
+    /// Returns the runners that may have restarted recently: they did not
+    /// accept a connection, or broke one.
     std::vector<ConnectionFailure> lost_contacts(TimePoint now);
-    /// Takes in which runners may start anew, as others told at `now`.
+    /// Merges another instance's lost_contacts(). Their ages count back from
+    /// `now`.
     void merge_peer_report(const std::vector<ConnectionFailure>& lost,
                            TimePoint now);
-    /// Logs and counts the requests that are blocked now and were not before.
+    /// Logs and counts the requests that were blocked since the last call.
     void note_blocked();
-    /// Takes in that a runner's process ended, as `evidence` shows: the calls
-    /// that broke there count. One that said that it leaves ends as planned.
+    /// Records that a runner's process exited; `evidence` is how this was
+    /// found out, for the log. Broken calls there count against their requests,
+    /// unless the runner announced that it would exit.
     void note_runner_exit(const RunnerIncarnation& runner,
                           const char* evidence);
-    /// Takes in that `runner` is listed: other processes that were at its
-    /// address have ended. One that leaves ends as planned.
+    /// Records that `runner` is listed, which shows that other processes at its
+    /// address have exited. Their broken calls count, unless the process
+    /// announced its exit.
     void note_runner_replaced(const ListedRunner& runner);
-    /// Takes in which runners of late went from the list by themselves.
+    /// Counts the broken calls at runners that recently disappeared from the
+    /// platform's list without having announced it.
     void settle_gone_runners();
-    /// Takes in what another instance told at `as_of` of calls under which
-    /// runners ended.
+    /// Merges another instance's crash_updates(), which it sent at `as_of`.
     void merge_peer_report(const CrashUpdate& news, TimePoint as_of);
-    /// Returns what to tell other instances of such calls.
+    /// Returns the calls under which runners exited, for other instances.
     CrashUpdate crash_updates(TimePoint now);
-    /// Takes in what an answer of a runner names as its limit, where its call
-    /// was sent when `known` changes of that were known, and logs a change.
+    /// Records the rate limit in an answer of a runner, and logs a change. The
+    /// call was sent when `known` changes of the limit were known.
     void note_runner_limit(const RunnerIncarnation& runner, double per_second,
                            std::uint64_t known);
-    /// Takes in what another instance told of runners' limits.
+    /// Merges the limits of runners that another instance reported.
     void merge_peer_report(const std::vector<LimitUpdate>& limits);
-    /// Returns what to tell other instances of them.
+    /// Returns the limits of runners, for other instances.
     std::vector<LimitUpdate> limit_updates(TimePoint now);
-    /// Takes in that a runner says that it leaves, as `source` told, and logs
-    /// it where that was not known.
+    /// Records that a runner announced that it will exit, and logs it if that
+    /// was not known. `source` is who reported it, for the log.
     void note_runner_leaving(const RunnerIncarnation& runner,
                              const char* source);
-    /// Takes in which runners told other instances that they leave.
+    /// Merges the runners that announced to other instances that they will
+    /// exit.
     void merge_peer_report(const std::vector<LeavingUpdate>& leaving);
-    /// Returns what to tell other instances of them.
+    /// Returns the runners that announced their exit, for other instances.
     std::vector<LeavingUpdate> leaving_updates();
-    /// Takes in that a runner wants nothing from this instance for `backoff`.
+    /// Records that a runner asked this instance to send nothing for `backoff`.
     void note_runner_backoff(const RunnerIncarnation& runner, Micros backoff);
-    /// Takes in that a request is recorded as blocked, or no longer.
+    /// Records whether the platform has a record that blocks the request.
     void note_block_record(const std::string& request, bool is_blocked);
-    /// Takes in that a runner has `version` of `model`, as `source` told, and
-    /// logs it where it was not known before.
+    /// Records that a runner has loaded `version` of `model`, and logs it if
+    /// that was not known. `source` is who reported it, for the log.
     void note_runner_weights(const RunnerIncarnation& runner,
                              std::string_view model, std::uint64_t version,
                              const char* source);
     /// Returns the number of instances of the fleet, at least 1.
     std::size_t instance_count();
-    /// True where this instance has the duty now.
+    /// Returns whether this instance holds the coordinator duty now.
     bool has_duty();
-    /// True where this instance may tell at `now` where parts are kept: it has
-    /// the duty, or had it until a moment ago.
+    /// Returns whether this instance may answer at `now` where prompt parts are
+    /// stored: it holds the duty, or held it less than kept_grace_time ago.
     bool may_tell_kept(TimePoint now);
-    /// Returns how long acts under the duty may still be done; 0 where they
-    /// may not.
+    /// Returns how long this instance may still act under the duty; 0 if it may
+    /// not.
     Micros duty_time_left();
-    /// True where there is time for an act under the duty.
+    /// Returns whether the lease lasts long enough for an action under the
+    /// duty.
     bool may_act();
-    /// Returns the fencing token for an act that begins now; nothing where
-    /// there is no time for it. The lease may be lost between two questions.
+    /// Returns the fencing token for an action that begins now; nothing if the
+    /// lease does not last long enough for it. To be called for each action,
+    /// since the lease may be lost between two calls.
     std::optional<std::uint64_t> acting_token();
-    /// True where the configuration and the runners are known.
+    /// Returns whether the configuration and the runners have been read.
     bool knows_fleet();
-    /// True where calls can be served.
+    /// Returns whether this instance can serve calls.
     bool ready();
-    /// Takes in what the platform told; `whole` where what is not named is
-    /// gone. With `lapsed_until`, the platform was
-    /// away until a moment ago: runners that are not listed any more may be
-    /// well, and count as gone only from then on.
+    /// Applies changes that were read from the platform. With `whole`, they are
+    /// the complete state: entries that they do not name are gone. With
+    /// `lapsed_until`, the platform was unreachable until a moment ago: runners
+    /// that are no longer listed may be healthy, and count as gone only from
+    /// that time on.
     void apply_changes(const std::vector<FleetChange>& changes, bool whole,
                        std::optional<TimePoint> lapsed_until);
-    /// Returns where this instance stands among those that ask each other for
-    /// news and load now.
+    /// Returns the current position of this instance in the tree in which
+    /// instances ask each other for load and for the platform's changes.
     TreePosition tree_position();
-    /// Returns whether other instances are to ask this one for news and load,
-    /// though it has no duty.
+    /// Returns whether other instances are to ask this one for load and for the
+    /// platform's changes, although it does not hold the duty.
     bool is_parent() { return tree_position().is_parent; }
 
 private:
-    /// The last place, with what it was worked out from: that takes a sort of
-    /// all instances by hashes, and is asked for 30 times a second.
+    /// The last result of tree_position(), with the values that it depends on.
+    /// Working it out takes a sort of all instances by hashes, and it is asked
+    /// for 30 times a second.
     struct KnownPlace {
         std::optional<std::uint64_t> instances_version;
         std::string holder;
--- a/src/serve/forward/forward_state_ends.cpp
+++ b/src/serve/forward/forward_state_ends.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-// The part of the state that tells under which requests runners ended.
+// The part of ForwardState that records under which requests runners exited.
 
 #include "forward_state.h"
 
@@ -62,8 +62,7 @@
                "gone");
 }
 
-/// Counts calls under which a runner ended, and logs those of them that were
-/// not known before.
+/// Counts `calls`, under which a runner exited, and logs them.
 void
 ForwardState::count_ends(const std::vector<InterruptedCall>& calls,
                          const char* evidence)
--- a/src/serve/forward/forward_state_words.cpp
+++ b/src/serve/forward/forward_state_words.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-// The part of the state that takes in what runners say of themselves, and what
-// other instances tell of that.
+// The part of ForwardState that records what runners report about themselves,
+// directly or through other instances.
 
 #include "forward_state.h"
 
@@ -102,7 +102,7 @@
         .span("backoff", backoff);
 }
 
-/// Logs and counts a limit that changed.
+/// Logs and counts a change of a runner's limit.
 void
 ForwardState::note_limit(std::string_view runner, double per_second,
                          const char* source)
--- a/src/serve/forward/http_caller_link.cpp
+++ b/src/serve/forward/http_caller_link.cpp
@@ -82,8 +82,8 @@
 void
 HttpCallerLink::break_off()
 {
-    // POCO ends a chunked answer as complete when it is destroyed; once the
-    // connection is shut down that end can't reach the caller.
+    // POCO ends a chunked answer as complete when the answer is destroyed. The
+    // caller does not get that end if the connection is shut down before.
     m_answer.setKeepAlive(false);
     try {
         m_request.socket().shutdown();
--- a/src/serve/forward/http_caller_link.h
+++ b/src/serve/forward/http_caller_link.h
@@ -17,11 +17,11 @@
 namespace crosslink
 {
 
-/// The way back over one HTTP connection of a caller.
+/// Sends the answer over the HTTP connection of a caller.
 class HttpCallerLink : public CallerLink
 {
 public:
-    /// Both outlive it.
+    /// `request` and `answer` must outlive this object.
     HttpCallerLink(Poco::Net::HTTPServerRequest& request,
                    Poco::Net::HTTPServerResponse& answer);
 
--- a/src/serve/forward/kept_asker.cpp
+++ b/src/serve/forward/kept_asker.cpp
@@ -16,8 +16,8 @@
 namespace
 {
 
-/// Pause after a question that failed: calls must not wait for a holder of
-/// the duty that is gone.
+/// Pause after a request that failed: calls must not wait for a holder of the
+/// duty that is gone.
 constexpr Micros after_failure = std::chrono::milliseconds(400);
 
 } // namespace
@@ -93,7 +93,7 @@
             coordinator.cancel_saves(space, unsaved);
         });
     } catch (const Error& failure) {
-        // The directory learns of it when the save is overdue.
+        // The directory finds out when the save is overdue.
         LogLine("kept_return_failed").field("error", failure.what());
     }
 }
--- a/src/serve/forward/kept_asker.h
+++ b/src/serve/forward/kept_asker.h
@@ -16,23 +16,24 @@
 namespace crosslink
 {
 
-/// Learns where the parts of a prompt lie: from this instance's copy of the
-/// directory, or from the instance that has the duty where it may be that
-/// this call should save some. Safe for many threads.
+/// Looks up where the parts of a prompt are stored: in this instance's replica
+/// of the directory, or at the instance that holds the coordinator duty if the
+/// call may have to save some parts. Thread-safe.
 class KeptAsker
 {
 public:
     KeptAsker(ForwardState& state, CoordinatorLink& coordinator);
 
     /// Returns a place for each of `parts` of a prompt, for a call that ends
-    /// within `longest`. Where nobody can be asked, all are None.
+    /// within `longest`. If the holder of the duty can't be asked, the places
+    /// come from the replica alone; parts that it does not know are None.
     KeptAnswer ask(const KeptSpace& space, std::span<const PromptPart> parts,
                    Micros longest);
-    /// Returns where `parts` lie as far as this instance's own copy tells;
-    /// nothing where the last of them is not known.
+    /// Returns the places of `parts` according to the replica alone; nothing if
+    /// the last of them is not known.
     std::optional<KeptAnswer> look(const KeptSpace& space,
                                    std::span<const PromptPart> parts);
-    /// Gives back saves of a call that did certainly not run.
+    /// Releases the saves among `places` of a call that certainly did not run.
     void not_saved(const std::string& space, std::span<const PromptPart> parts,
                    std::span<const KeptPlace> places);
 
@@ -43,7 +44,7 @@
 
     ForwardState& m_state;
     CoordinatorLink& m_coordinator;
-    /// Nobody is asked before.
+    /// No other instance is asked before this time.
     std::atomic<TimePoint> m_ask_again{TimePoint{}};
 };
 
--- a/src/serve/forward/runner_choice.cpp
+++ b/src/serve/forward/runner_choice.cpp
@@ -14,14 +14,15 @@
 namespace
 {
 
-/// A call that has not begun on replaced weights so long before they are
-/// forbidden is withdrawn: this long, a runner may take to see that its caller
-/// left, and the first event to arrive.
+/// A call that has not begun on replaced weights this long before these are
+/// forbidden is withdrawn. A runner may take this long to notice that its
+/// caller has disconnected, and the first event to arrive.
 constexpr Micros withdraw_margin = std::chrono::milliseconds(300);
-/// Weights that no version was named of yet.
+/// Version of the weights of a model before one was named.
 constexpr std::uint64_t first_weights = 1;
 
-/// Returns the id of the last shared part of the prompt; empty for none.
+/// Returns the id of the last shared part of the prompt; empty if there is
+/// none.
 std::string
 last_shared_part(const ForwardedCall& call)
 {
@@ -62,9 +63,9 @@
     }));
 }
 
-/// Calls that wait for a runner with a limit come one after the other: without
-/// places of their own all of them would wait for its next one, and all but one
-/// in vain.
+/// Calls that wait for a runner with a rate limit are sent one after the other.
+/// Without a reservation each, all of them would wait for the runner's next
+/// slot, and all but one in vain.
 NextAvailability
 RunnerChoice::keep_place(TimePoint useful)
 {
@@ -105,7 +106,8 @@
     return take(std::move(pick));
 }
 
-/// Takes over the runner that was chosen, with a place reserved there.
+/// Makes `pick` the chosen runner, at which a slot is already reserved. Returns
+/// false if it is empty.
 bool
 RunnerChoice::take(std::optional<RunnerPick> pick)
 {
@@ -129,7 +131,7 @@
         });
 }
 
-/// Gives back the places of a call that was not sent.
+/// Releases the reservations of a call that was not sent.
 void
 RunnerChoice::release()
 {
@@ -152,8 +154,8 @@
     return m_holder ? std::string_view(m_holder->name) : std::string_view();
 }
 
-/// Returns what the choice depends on now. It refers to the call and to the
-/// runners that are passed over.
+/// Returns the current inputs of the choice. The query refers to the call and
+/// to the set of excluded runners.
 RunnerQuery
 RunnerChoice::make_query()
 {
@@ -184,7 +186,8 @@
     return query;
 }
 
-/// Adds whether the call's account goes after the others at limited runners.
+/// Adds whether the call's account has used more than its share of the runners
+/// with limits, so that the calls of other accounts go first there.
 void
 RunnerChoice::add_account(RunnerQuery& query)
 {
@@ -198,7 +201,7 @@
     m_account_ahead = query.account_ahead;
 }
 
-/// Adds how runners of the service are spared while they warm up.
+/// Adds the limit on calls to runners of the service that are warming up.
 void
 RunnerChoice::add_warm_up(RunnerQuery& query, const ServiceMap& map) const
 {
@@ -209,7 +212,7 @@
                      m_state.settings.warm_up_limit(found->second.per_second)};
 }
 
-/// Adds where the prompt is kept, and how much of it will be read.
+/// Adds where the prompt's parts are stored, and how many tokens will be read.
 void
 RunnerChoice::add_prompt(RunnerQuery& query)
 {
--- a/src/serve/forward/runner_choice.h
+++ b/src/serve/forward/runner_choice.h
@@ -20,12 +20,13 @@
 namespace crosslink
 {
 
-/// Chooses the runner of one call, anew for each time that it is sent, by
-/// where its prompt is kept and by the weights that are named then.
+/// Chooses the runner for each send of one call, depending on where its prompt
+/// parts are stored and on the weights that are named at that time.
 class RunnerChoice
 {
 public:
-    /// All of them outlive it. `holder` is null on open routes.
+    /// All references must outlive this object. `holder` is the account of the
+    /// call; null on open routes.
     RunnerChoice(ForwardState& state, CallPrompt& prompt,
                  const ForwardedCall& call, const ServiceRoute& route,
                  const AccountSettings* holder);
@@ -33,43 +34,45 @@
     RunnerChoice(const RunnerChoice&) = delete;
     RunnerChoice& operator=(const RunnerChoice&) = delete;
 
-    /// Chooses a runner. Returns false, and leaves the last one, where none
-    /// takes work.
+    /// Chooses a runner. Returns false, and keeps the last choice, if no runner
+    /// accepts calls.
     bool choose();
-    /// Returns when a runner takes work again, and keeps a place there for the
-    /// call where that is before `useful`.
+    /// Returns when a runner accepts calls again, and reserves a slot there for
+    /// the call if that is before `useful`.
     NextAvailability keep_place(TimePoint useful);
-    /// Returns when a runner takes work again, and keeps no place there.
+    /// Returns when a runner accepts calls again, without a reservation.
     NextAvailability next_available();
-    /// As choose(), with the place that was kept.
+    /// As choose(), with the slot reserved by keep_place(), if there is one.
     bool choose_kept();
-    /// Takes note that the call is sent to the chosen runner at `now`; see
+    /// Records that the call is sent to the chosen runner at `now`; see
     /// RunnerTable::sent().
     void sent(std::uint64_t tokens, std::uint64_t resident, TimePoint now);
     /// See RunnerQuery::spares_ending.
     void spare_ending(bool spares) { m_spares_ending = spares; }
-    /// Lets the last runner not be chosen again.
+    /// Excludes the last runner from further choices.
     void pass_over_last() { m_avoid.insert(m_pick.id); }
-    /// Lets all runners be chosen again.
+    /// Allows all runners to be chosen again.
     void pass_over_none() { m_avoid.clear(); }
 
-    /// The runner that was chosen last.
+    /// Returns the runner that was chosen last.
     const RunnerPick& pick() const { return m_pick; }
-    /// The service of the route that the call goes to.
+    /// Returns the service of the route that the call is sent to.
     const std::string& service() const { return m_service; }
-    /// The newest weights that were named at the last choice; 0 for none.
+    /// Returns the newest weights that were named at the last choice; 0 for
+    /// none.
     std::uint64_t newest_weights() const { return m_newest; }
-    /// Returns whether the call's account had more than its part of what
-    /// limited runners of the service take, as of the last choice.
+    /// Returns whether, as of the last choice, the call's account had used more
+    /// than its share of the capacity of the service's runners with limits.
     bool account_ahead() const { return m_account_ahead; }
     /// Returns the space of the KV that the chosen runner makes of the prompt.
     KeptSpace kept_space() const { return space_of(m_pick.version); }
 
-    /// Returns the time after which a call that has not begun is withdrawn, as
-    /// its weights are about to be forbidden: none or less where that is due;
-    /// nothing where no newer ones are named. Only for a call for a model.
+    /// Returns the time until a call that has not begun is withdrawn because
+    /// the weights of its runner are about to be forbidden. Zero or negative if
+    /// it is due; nothing if no newer weights are named. Only for calls to a
+    /// model.
     std::optional<Micros> weights_left() const;
-    /// Returns whether that time is over.
+    /// Returns whether a call that has not begun is to be withdrawn now.
     bool is_outdated() const;
 
 private:
@@ -87,17 +90,17 @@
     const ForwardedCall& m_call;
     const AccountSettings* m_holder;
     const std::string m_service;
-    const std::string m_affinity; ///< The last shared part of the prompt.
-    /// Zones whose runners may have the call; nothing for all.
+    const std::string m_affinity; ///< Id of the prompt's last shared part.
+    /// Zones whose runners may get the call; nothing for all.
     const std::optional<ZoneSet> m_zones_allowed;
     RunnerPick m_pick;
     bool m_reserved = false; ///< The call is about to be sent to m_pick.
-    /// Where a place is kept for the call while it waits.
+    /// The slot that is reserved for the call while it waits.
     std::optional<NextAvailability> m_kept_place;
-    bool m_account_ahead = false; ///< At the last choice.
+    bool m_account_ahead = false; ///< As of the last choice.
     bool m_spares_ending = true;
     std::set<std::string> m_avoid; ///< Runners that are not chosen.
-    std::uint64_t m_newest = 0;    ///< Weights named at the last choice.
+    std::uint64_t m_newest = 0;    ///< Newest weights as of the last choice.
 };
 
 } // namespace crosslink
