--- a/src/serve/coordinator/block_duty.cpp
+++ b/src/serve/coordinator/block_duty.cpp
@@ -19,7 +19,7 @@
 
 /// Pause between two rounds. Running instances do not depend on the record;
 /// only instances that start do.
-constexpr Micros look_pause = std::chrono::milliseconds(500);
+constexpr Micros round_pause = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -32,7 +32,7 @@
 BlockDuty::round()
 {
     if (!m_state.has_duty())
-        return look_pause;
+        return round_pause;
     std::vector<std::string> blocked;
     std::vector<std::string> cleared;
     m_state.crashes.with([&](const CrashHistory& history) {
@@ -47,7 +47,7 @@
     } catch (const Error& failure) {
         LogLine("block_not_recorded").field("error", failure.what());
     }
-    return look_pause;
+    return round_pause;
 }
 
 void
--- a/src/serve/coordinator/coordinator.cpp
+++ b/src/serve/coordinator/coordinator.cpp
@@ -50,7 +50,7 @@
     }
     const bool may_be_own = m_state.coordinator_lease.with(
         [](DutyLease& lease) { return lease.token() != 0; });
-    if (!may_be_own && !is_own_turn())
+    if (!may_be_own && !may_take_duty())
         return pause;
     try {
         hold_duty(span);
@@ -75,7 +75,7 @@
     const bool taken = lease->token != m_last_token;
     if (taken) {
         m_last_token = lease->token;
-        took_duty();
+        begin_duty();
     }
     const bool granted = m_state.coordinator_lease.with([&](DutyLease& mine) {
         if (!m_state.stopping)
@@ -84,8 +84,8 @@
     });
     // A stop began in the meantime and found no lease to release.
     if (!granted)
-        plan_release();
-    m_kept.follow_map();
+        schedule_release();
+    m_kept.adopt_stores();
     if (taken) {
         m_weights.nudge();
         m_kept.nudge();
@@ -97,7 +97,7 @@
 /// the platform gets few calls; this function waits until it is the turn of
 /// this instance.
 bool
-Coordinator::is_own_turn()
+Coordinator::may_take_duty()
 {
     const auto holder = [this] {
         return m_state.fleet.with(
@@ -147,7 +147,7 @@
 }
 
 void
-Coordinator::took_duty()
+Coordinator::begin_duty()
 {
     LogLine("duty_taken").field("duty", duty_name).field("token", m_last_token);
     m_weights.begin();
@@ -163,17 +163,17 @@
         const std::string& address = view.coordinator_address();
         return !address.empty() && address != m_state.settings.peer_address();
     });
-    return !other && m_state.may_tell_kept(monotonic_now());
+    return !other && m_state.may_answer_kept(monotonic_now());
 }
 
 /// Returns the current time if this instance may answer now, and throws
 /// Error(LeaseLost) otherwise. The validity of an answer must count from this
 /// time, since the process may be suspended at any point.
 TimePoint
-Coordinator::require_knowledge() const
+Coordinator::require_may_answer() const
 {
     const TimePoint now = monotonic_now();
-    if (!m_state.may_tell_kept(now))
+    if (!m_state.may_answer_kept(now))
         throw Error(ErrorCode::LeaseLost, "another instance has the duty");
     return now;
 }
@@ -181,26 +181,26 @@
 bool
 Coordinator::stop_answering(std::uint64_t token, const std::string& address)
 {
-    const bool silent = m_kept.stop_answering(token);
+    const bool stopped = m_kept.stop_answering(token);
     // The platform may be unreachable and not have reported the new holder.
-    if (silent)
+    if (stopped)
         m_state.fleet.with(
             [&](FleetView& view) { view.peer_reported_coordinator = address; });
-    return silent;
+    return stopped;
 }
 
 KeptAnswer
 Coordinator::find_kept_parts(const KeptSpace& space,
                              std::span<const PromptPart> parts, Micros longest)
 {
-    const TimePoint now = require_knowledge();
-    return m_kept.ask(space, parts, longest, now);
+    const TimePoint now = require_may_answer();
+    return m_kept.locate(space, parts, longest, now);
 }
 
 ExchangeResponse
 Coordinator::exchange(const ExchangeRequest& request)
 {
-    const TimePoint now = require_knowledge();
+    const TimePoint now = require_may_answer();
     ExchangeResponse response;
     response.others = m_loads.with([&](LoadAggregator& board) {
         board.told(request.instance, request.load, now);
@@ -250,7 +250,7 @@
 }
 
 void
-Coordinator::give_up()
+Coordinator::resign()
 {
     const bool held = m_state.coordinator_lease.with([](DutyLease& lease) {
         const bool mine = lease.held(monotonic_now());
@@ -258,7 +258,7 @@
         return mine;
     });
     if (held)
-        plan_release();
+        schedule_release();
 }
 
 /// The next holder assumes that this one did not act in the unused part of its
@@ -266,7 +266,7 @@
 /// When it was released at once, orders of the two holders were 2.8 s apart
 /// instead of the required 3 s.
 void
-Coordinator::plan_release()
+Coordinator::schedule_release()
 {
     const TimePoint due =
         monotonic_now() + DutyLease::safety_margin(m_state.settings.lease());
--- a/src/serve/coordinator/coordinator.h
+++ b/src/serve/coordinator/coordinator.h
@@ -61,18 +61,18 @@
     void fleet_changed();
     /// Stops acting under the duty at once, and releases its lease a moment
     /// later. For a planned stop.
-    void give_up();
+    void resign();
 
 private:
     Micros lease_round();
     void hold_duty(Micros span);
-    void plan_release();
+    void schedule_release();
     void release_when_due();
-    bool is_own_turn();
+    bool may_take_duty();
     Micros takeover_wait(bool first);
     std::size_t takeover_rank();
-    void took_duty();
-    TimePoint require_knowledge() const;
+    void begin_duty();
+    TimePoint require_may_answer() const;
 
     ForwardState& m_state;
     std::uint64_t m_last_token = 0;
--- a/src/serve/coordinator/kept_duties.cpp
+++ b/src/serve/coordinator/kept_duties.cpp
@@ -41,11 +41,11 @@
 void
 KeptDuties::begin(std::uint64_t token)
 {
-    m_kept.with([token](Kept& kept) {
+    m_kept.with([token](DirectoryState& kept) {
         kept.directory.begin(token, monotonic_now());
         kept.token = token;
-        kept.silent = false;
-        kept.others_silent = false;
+        kept.stopped = false;
+        kept.earlier_stopped = false;
         kept.next.clear();
     });
 }
@@ -58,11 +58,11 @@
 }
 
 KeptAnswer
-KeptDuties::ask(const KeptSpace& space, std::span<const PromptPart> parts,
-                Micros longest, TimePoint now)
+KeptDuties::locate(const KeptSpace& space, std::span<const PromptPart> parts,
+                   Micros longest, TimePoint now)
 {
-    return m_kept.with([&](Kept& kept) {
-        require_telling(kept);
+    return m_kept.with([&](DirectoryState& kept) {
+        require_answering(kept);
         return kept.directory.ask(space, parts, longest + save_slack, now);
     });
 }
@@ -70,26 +70,26 @@
 KeptUpdate
 KeptDuties::update_since(std::uint64_t term, std::uint64_t place, TimePoint now)
 {
-    return m_kept.with([&](Kept& kept) {
-        require_telling(kept);
+    return m_kept.with([&](DirectoryState& kept) {
+        require_answering(kept);
         return kept.directory.update_since(term, place, now);
     });
 }
 
 void
-KeptDuties::require_telling(const Kept& kept)
+KeptDuties::require_answering(const DirectoryState& kept)
 {
-    if (kept.silent)
+    if (kept.stopped)
         throw Error(ErrorCode::LeaseLost, "a later holder tells");
 }
 
 bool
 KeptDuties::stop_answering(std::uint64_t token)
 {
-    return m_kept.with([token](Kept& kept) {
+    return m_kept.with([token](DirectoryState& kept) {
         if (token <= kept.token)
             return false;
-        kept.silent = true;
+        kept.stopped = true;
         return true;
     });
 }
@@ -97,11 +97,12 @@
 /// Asks the earlier holders of the duty that may still answer to stop, and
 /// informs the directory when none is left.
 void
-KeptDuties::silence_earlier()
+KeptDuties::stop_earlier_holders()
 {
-    const auto [silent, token] = m_kept.with(
-        [](Kept& kept) { return std::pair(kept.others_silent, kept.token); });
-    if (silent)
+    const auto [stopped, token] = m_kept.with([](DirectoryState& kept) {
+        return std::pair(kept.earlier_stopped, kept.token);
+    });
+    if (stopped)
         return;
     const TimePoint now = monotonic_now();
     const HolderHistory holders =
@@ -116,10 +117,10 @@
                 token, m_state.settings.peer_address()))
             return;
     LogLine("earlier_holders_silent").field("token", token);
-    m_kept.with([token = token](Kept& kept) {
+    m_kept.with([token = token](DirectoryState& kept) {
         if (kept.token != token)
             return;
-        kept.others_silent = true;
+        kept.earlier_stopped = true;
         kept.directory.earlier_holders_stopped(monotonic_now());
     });
 }
@@ -128,19 +129,19 @@
 KeptDuties::cancel_saves(const std::string& space,
                          std::span<const PromptPart> parts)
 {
-    m_kept.with([&](Kept& kept) {
+    m_kept.with([&](DirectoryState& kept) {
         for (const PromptPart& part : parts)
             kept.directory.not_saved({space, part.id, part.tokens});
     });
 }
 
 void
-KeptDuties::follow_map()
+KeptDuties::adopt_stores()
 {
     const auto map = m_state.map();
     if (!map)
         return;
-    const bool changed = m_kept.with([&](Kept& kept) {
+    const bool changed = m_kept.with([&](DirectoryState& kept) {
         if (kept.map_version == map->version)
             return false;
         kept.map_version = map->version;
@@ -188,7 +189,7 @@
     if (!m_state.may_act())
         return idle_pause;
     try {
-        silence_earlier();
+        stop_earlier_holders();
     } catch (const Error& failure) {
         LogLine("earlier_holder_unreachable").field("error", failure.what());
     }
@@ -207,11 +208,11 @@
         return found != oldest.end() && space.version < found->second;
     };
     const double changed = m_weights.updated_fraction();
-    auto slow = m_state.fetches.with([](FetchDelayTracker& watch) {
-        return watch.slow_stores(monotonic_now());
+    auto slow = m_state.fetches.with([](FetchDelayTracker& tracker) {
+        return tracker.slow_stores(monotonic_now());
     });
     RunnerMillis clock = 0;
-    const auto frees = m_kept.with([&](Kept& kept) {
+    const auto frees = m_kept.with([&](DirectoryState& kept) {
         const TimePoint now = monotonic_now();
         clock = kept.directory.runner_clock(now);
         kept.directory.set_slow(std::move(slow));
@@ -231,10 +232,10 @@
 Micros
 KeptDuties::store_round(const std::string& address)
 {
-    if (!m_state.may_tell_kept(monotonic_now()))
+    if (!m_state.may_answer_kept(monotonic_now()))
         return idle_pause;
     std::uint64_t after = 0;
-    const bool list = m_kept.with([&](Kept& kept) {
+    const bool list = m_kept.with([&](DirectoryState& kept) {
         const auto next = kept.next.find(address);
         if (next == kept.next.end())
             return true;
@@ -251,7 +252,7 @@
         LogLine("kept_store_unreachable")
             .field("store", address)
             .field("error", failure.what());
-        m_kept.with([&](Kept& kept) {
+        m_kept.with([&](DirectoryState& kept) {
             kept.directory.unreachable(address);
             kept.next.erase(address);
         });
@@ -263,7 +264,7 @@
 KeptDuties::list_store(const std::string& address)
 {
     const KeptListing listing = m_state.ports.stores.list(address);
-    m_kept.with([&](Kept& kept) {
+    m_kept.with([&](DirectoryState& kept) {
         kept.directory.apply_listing(address, listing, monotonic_now());
         kept.next[address] = listing.next;
     });
@@ -278,7 +279,7 @@
 {
     const KeptChanges changes =
         m_state.ports.stores.changes(address, after, changes_wait);
-    m_kept.with([&](Kept& kept) {
+    m_kept.with([&](DirectoryState& kept) {
         if (kept.directory.apply_changes(address, changes, monotonic_now()))
             kept.next[address] = changes.next;
         else
--- a/src/serve/coordinator/kept_duties.h
+++ b/src/serve/coordinator/kept_duties.h
@@ -36,15 +36,15 @@
     void begin(std::uint64_t token);
     /// Adopts the stores of the configuration in force. To be called by one
     /// thread only.
-    void follow_map();
+    void adopt_stores();
     /// Reads the stores at once, when this instance has taken the duty. To be
-    /// called by the thread that calls follow_map().
+    /// called by the thread that calls adopt_stores().
     void nudge();
     /// Returns where `parts` are stored, for a call that ends within `longest`.
     /// `now` is a time at which this instance was allowed to answer. Throws
     /// Error(LeaseLost) after stop_answering().
-    KeptAnswer ask(const KeptSpace& space, std::span<const PromptPart> parts,
-                   Micros longest, TimePoint now);
+    KeptAnswer locate(const KeptSpace& space, std::span<const PromptPart> parts,
+                      Micros longest, TimePoint now);
     /// See KeptDirectory::update_since(). Throws Error(LeaseLost) after
     /// stop_answering().
     KeptUpdate update_since(std::uint64_t term, std::uint64_t place,
@@ -60,19 +60,19 @@
 
 private:
     /// The directory with the state of its updates.
-    struct Kept {
+    struct DirectoryState {
         KeptDirectory directory;
         std::uint64_t token = 0;       ///< Fencing token of the own lease.
-        bool silent = false;           ///< stop_answering() was called.
-        bool others_silent = false;    ///< All earlier holders have stopped.
+        bool stopped = false;          ///< stop_answering() was called.
+        bool earlier_stopped = false;  ///< All earlier holders have stopped.
         std::uint64_t map_version = 0; ///< Configuration of the stores.
         /// Position of the next change to read, by store.
         std::map<std::string, std::uint64_t, std::less<>> next;
     };
     using OldestVersions = std::map<std::string, std::uint64_t, std::less<>>;
 
-    static void require_telling(const Kept& kept);
-    void silence_earlier();
+    static void require_answering(const DirectoryState& kept);
+    void stop_earlier_holders();
     OldestVersions oldest_versions();
     Micros free_round();
     void free_due();
@@ -82,7 +82,7 @@
 
     ForwardState& m_state;
     WeightsDuty& m_weights;
-    Guarded<Kept> m_kept;
+    Guarded<DirectoryState> m_kept;
     /// By address.
     std::map<std::string, std::unique_ptr<Duty>> m_store_duties;
     Duty m_free_duty;
--- a/src/serve/coordinator/rollout_duty.cpp
+++ b/src/serve/coordinator/rollout_duty.cpp
@@ -22,7 +22,7 @@
 constexpr Micros idle_pause = std::chrono::milliseconds(500);
 /// Pause after a write, until the watch on the platform's store reports it, or
 /// until a failed write is retried. Each write is a billed call.
-constexpr Micros again_pause = std::chrono::milliseconds(400);
+constexpr Micros retry_pause = std::chrono::milliseconds(400);
 
 } // namespace
 
@@ -64,7 +64,7 @@
     } catch (const Error& failure) {
         LogLine("rollout_not_recorded").field("error", failure.what());
     }
-    return due.empty() ? idle_pause : again_pause;
+    return due.empty() ? idle_pause : retry_pause;
 }
 
 void
--- a/src/serve/coordinator/runner_desk.cpp
+++ b/src/serve/coordinator/runner_task_pool.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include "runner_desk.h"
+#include "runner_task_pool.h"
 
 #include <spdlog/spdlog.h>
 
@@ -21,44 +21,44 @@
 constexpr std::size_t thread_count = 8;
 /// Capacity of the queue: the number of runners that load at once in a fleet of
 /// the target size.
-constexpr std::size_t most_waiting = 512;
+constexpr std::size_t queue_capacity = 512;
 
 } // namespace
 
-RunnerDesk::RunnerDesk(Talk talk)
-    : m_talk(std::move(talk)), m_ring(most_waiting)
+RunnerTaskPool::RunnerTaskPool(Handler handler)
+    : m_handler(std::move(handler)), m_queue(queue_capacity)
 {
     for (std::size_t i = 0; i < thread_count; ++i)
-        m_threads.emplace_back([this] { work(); });
+        m_threads.emplace_back([this] { run_tasks(); });
 }
 
-RunnerDesk::~RunnerDesk()
+RunnerTaskPool::~RunnerTaskPool()
 {
-    m_ring.close();
+    m_queue.close();
     for (std::thread& thread : m_threads)
         thread.join();
 }
 
 bool
-RunnerDesk::submit(const RunnerTask& task)
+RunnerTaskPool::submit(const RunnerTask& task)
 {
     const std::string& runner = task.order.runner;
     const bool is_free = m_busy.with(
         [&runner](auto& busy) { return busy.insert(runner).second; });
     if (!is_free)
         return false;
-    const bool taken = m_ring.push(task);
+    const bool taken = m_queue.push(task);
     if (!taken)
         m_busy.with([&runner](auto& busy) { busy.erase(runner); });
     return taken;
 }
 
 void
-RunnerDesk::work()
+RunnerTaskPool::run_tasks()
 {
-    while (const auto task = m_ring.pop()) {
+    while (const auto task = m_queue.pop()) {
         try {
-            m_talk(*task);
+            m_handler(*task);
         } catch (const std::exception& failure) {
             spdlog::warn("request to runner failed: {}", failure.what());
         }
--- a/src/serve/coordinator/runner_desk.h
+++ b/src/serve/coordinator/runner_task_pool.h
@@ -20,37 +20,37 @@
 /// A request to be sent to a runner.
 struct RunnerTask {
     enum class Kind {
-        Give, ///< Give it the order.
-        Ask,  ///< Ask whether it has carried out the order.
+        GiveOrder,  ///< Give it the order.
+        CheckOrder, ///< Ask whether it has carried out the order.
     };
-    Kind kind = Kind::Ask;
+    Kind kind = Kind::CheckOrder;
     WeightsOrder order;
 };
 
 /// Sends requests to several runners at a time, so that a runner that does not
 /// answer delays no other. With one request after the other, each such runner
 /// blocked all orders for 0.4 s, nine times in one rollout of 18 runners.
-class RunnerDesk
+class RunnerTaskPool
 {
 public:
-    using Talk = std::function<void(const RunnerTask&)>;
+    using Handler = std::function<void(const RunnerTask&)>;
 
-    /// `talk` is called by threads of this object, and may block.
-    explicit RunnerDesk(Talk talk);
+    /// `handler` is called by threads of this object, and may block.
+    explicit RunnerTaskPool(Handler handler);
     /// Waits for the tasks in progress.
-    ~RunnerDesk();
-    RunnerDesk(const RunnerDesk&) = delete;
-    RunnerDesk& operator=(const RunnerDesk&) = delete;
+    ~RunnerTaskPool();
+    RunnerTaskPool(const RunnerTaskPool&) = delete;
+    RunnerTaskPool& operator=(const RunnerTaskPool&) = delete;
 
     /// Queues a task. Returns false, and drops it, if an earlier task for the
     /// same runner has not ended, or the queue is full.
     bool submit(const RunnerTask& task);
 
 private:
-    void work();
+    void run_tasks();
 
-    const Talk m_talk;
-    BoundedRing<RunnerTask> m_ring;
+    const Handler m_handler;
+    BoundedRing<RunnerTask> m_queue;
     Guarded<std::set<std::string>> m_busy; ///< Runners with a task.
     std::vector<std::thread> m_threads;
 };
--- a/src/serve/coordinator/weights_duty.cpp
+++ b/src/serve/coordinator/weights_duty.cpp
@@ -37,7 +37,7 @@
 
 WeightsDuty::WeightsDuty(ForwardState& state)
     : m_state(state), m_plan(state.settings.weights_bound()),
-      m_desk([this](const RunnerTask& task) { talk(task); }),
+      m_tasks([this](const RunnerTask& task) { run_task(task); }),
       m_duty("weights", [this] { return round(); })
 {
 }
@@ -102,9 +102,9 @@
         return plan.due(runners, now);
     });
     for (const WeightsOrder& order : due)
-        hand_in(order);
+        submit_order(order);
     for (const WeightsOrder& order : open)
-        m_desk.submit({RunnerTask::Kind::Ask, order});
+        m_tasks.submit({RunnerTask::Kind::CheckOrder, order});
     return due.empty() && open.empty() ? idle_pause : busy_pause;
 }
 
@@ -126,27 +126,27 @@
 /// Queues `order` to be given to its runner. If the queue does not accept it,
 /// the order is due again later.
 void
-WeightsDuty::hand_in(const WeightsOrder& order)
+WeightsDuty::submit_order(const WeightsOrder& order)
 {
-    if (m_desk.submit({RunnerTask::Kind::Give, order}))
+    if (m_tasks.submit({RunnerTask::Kind::GiveOrder, order}))
         return;
     m_plan.with(
         [&order](WeightsPlan& plan) { plan.not_sent(order, monotonic_now()); });
 }
 
 void
-WeightsDuty::talk(const RunnerTask& task)
+WeightsDuty::run_task(const RunnerTask& task)
 {
-    if (task.kind == RunnerTask::Kind::Give)
-        give(task.order);
+    if (task.kind == RunnerTask::Kind::GiveOrder)
+        give_order(task.order);
     else
-        ask(task.order);
+        check_order(task.order);
 }
 
 /// Asks the runner of `order` for its report, and records whether it announces
 /// its exit.
 std::optional<RunnerReport>
-WeightsDuty::report_for(const WeightsOrder& order)
+WeightsDuty::request_report(const WeightsOrder& order)
 {
     const auto report = m_state.ports.orders.report(order.address, order.model);
     if (report && report->leaving)
@@ -157,7 +157,8 @@
 /// Gives `order` to its runner unless the report shows that the runner is
 /// leaving, is busy, or already has the weights.
 OrderOutcome
-WeightsDuty::give_after(const RunnerReport& report, const WeightsOrder& order)
+WeightsDuty::give_if_needed(const RunnerReport& report,
+                            const WeightsOrder& order)
 {
     if (report.leaving)
         return OrderOutcome::Refused;
@@ -174,11 +175,11 @@
 }
 
 void
-WeightsDuty::give(const WeightsOrder& order)
+WeightsDuty::give_order(const WeightsOrder& order)
 {
-    const auto report = report_for(order);
+    const auto report = request_report(order);
     const OrderOutcome outcome =
-        report ? give_after(*report, order) : OrderOutcome::Refused;
+        report ? give_if_needed(*report, order) : OrderOutcome::Refused;
     LogLine("weights_order")
         .field("runner", order.runner)
         .field("version", order.version)
@@ -189,9 +190,9 @@
 }
 
 void
-WeightsDuty::ask(const WeightsOrder& order)
+WeightsDuty::check_order(const WeightsOrder& order)
 {
-    const auto report = report_for(order);
+    const auto report = request_report(order);
     if (!report) {
         m_plan.with([&order](WeightsPlan& plan) { plan.report_failed(order); });
         return;
--- a/src/serve/coordinator/weights_duty.h
+++ b/src/serve/coordinator/weights_duty.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include "runner_desk.h"
+#include "runner_task_pool.h"
 
 #include <serve/duty.h>
 #include <serve/forward/forward_state.h>
@@ -42,17 +42,17 @@
 private:
     Micros round();
     void keep_known_services(RunnerTable& runners);
-    void hand_in(const WeightsOrder& order);
-    void talk(const RunnerTask& task);
-    void give(const WeightsOrder& order);
-    std::optional<RunnerReport> report_for(const WeightsOrder& order);
-    OrderOutcome give_after(const RunnerReport& report,
-                            const WeightsOrder& order);
-    void ask(const WeightsOrder& order);
+    void submit_order(const WeightsOrder& order);
+    void run_task(const RunnerTask& task);
+    void give_order(const WeightsOrder& order);
+    std::optional<RunnerReport> request_report(const WeightsOrder& order);
+    OrderOutcome give_if_needed(const RunnerReport& report,
+                                const WeightsOrder& order);
+    void check_order(const WeightsOrder& order);
 
     ForwardState& m_state;
     Guarded<WeightsPlan> m_plan;
-    RunnerDesk m_desk;
+    RunnerTaskPool m_tasks;
     Duty m_duty;
 };
 
--- a/src/serve/forward/answer_intake.cpp
+++ b/src/serve/forward/answer_intake.cpp
@@ -17,7 +17,7 @@
 /// Another process at its address answers that the call is misdirected, and
 /// reports its own state.
 bool
-is_of(const AnswerHead& head, const RunnerPick& runner)
+is_from(const AnswerHead& head, const RunnerPick& runner)
 {
     return head.runner.empty() ? !head.misdirected : head.runner == runner.id;
 }
@@ -30,29 +30,29 @@
 }
 
 void
-AnswerIntake::take(const AnswerHead& head, const RunnerPick& runner)
+AnswerIntake::apply(const AnswerHead& head, const RunnerPick& runner)
 {
-    take_limit(head, runner);
-    take_leaving(head, runner);
-    take_backoff(head, runner);
-    take_weights(head, runner);
+    apply_limit(head, runner);
+    apply_leaving(head, runner);
+    apply_backoff(head, runner);
+    apply_weights(head, runner);
 }
 
 void
-AnswerIntake::take_surplus(const AnswerHead& head, const RunnerPick& runner)
+AnswerIntake::apply_surplus(const AnswerHead& head, const RunnerPick& runner)
 {
-    take_leaving(head, runner);
-    take_backoff(head, runner);
+    apply_leaving(head, runner);
+    apply_backoff(head, runner);
 }
 
 /// An answer without a limit ends a known limit only if the runner ran the
 /// call, which its signature shows: another process may have refused the call
 /// in its place.
 void
-AnswerIntake::take_limit(const AnswerHead& head, const RunnerPick& runner)
+AnswerIntake::apply_limit(const AnswerHead& head, const RunnerPick& runner)
 {
     if (!head.rate_limit) {
-        unreadable("limit", runner);
+        log_unreadable("limit", runner);
         return;
     }
     const bool names_none = *head.rate_limit == no_rate_limit;
@@ -65,25 +65,25 @@
 }
 
 void
-AnswerIntake::take_leaving(const AnswerHead& head, const RunnerPick& runner)
+AnswerIntake::apply_leaving(const AnswerHead& head, const RunnerPick& runner)
 {
     if (!head.leaving)
-        unreadable("leaving", runner);
-    else if (*head.leaving && is_of(head, runner))
+        log_unreadable("leaving", runner);
+    else if (*head.leaving && is_from(head, runner))
         m_state.note_runner_leaving(runner.incarnation(), "answer");
 }
 
 void
-AnswerIntake::take_backoff(const AnswerHead& head, const RunnerPick& runner)
+AnswerIntake::apply_backoff(const AnswerHead& head, const RunnerPick& runner)
 {
     if (!head.backoff)
-        unreadable("backoff", runner);
-    else if (head.backoff->count() > 0 && is_of(head, runner))
+        log_unreadable("backoff", runner);
+    else if (head.backoff->count() > 0 && is_from(head, runner))
         m_state.note_runner_backoff(runner.incarnation(), *head.backoff);
 }
 
 void
-AnswerIntake::take_weights(const AnswerHead& head, const RunnerPick& runner)
+AnswerIntake::apply_weights(const AnswerHead& head, const RunnerPick& runner)
 {
     if (m_call.generation && head.version != 0)
         m_state.note_runner_weights(runner.incarnation(),
@@ -93,7 +93,7 @@
 
 /// Logs a value that can't be parsed. It neither sets nor clears anything.
 void
-AnswerIntake::unreadable(const char* word, const RunnerPick& runner) const
+AnswerIntake::log_unreadable(const char* word, const RunnerPick& runner) const
 {
     LogLine("word_unreadable")
         .field("word", word)
--- a/src/serve/forward/answer_intake.h
+++ b/src/serve/forward/answer_intake.h
@@ -23,17 +23,17 @@
 
     /// Applies the head of an answer to the call, whatever its status, that
     /// arrived on the connection to `runner`.
-    void take(const AnswerHead& head, const RunnerPick& runner);
-    /// As take(), for an answer to an earlier call on that connection. Its
+    void apply(const AnswerHead& head, const RunnerPick& runner);
+    /// As apply(), for an answer to an earlier call on that connection. Its
     /// limit and weights are ignored: they may be older than the known ones.
-    void take_surplus(const AnswerHead& head, const RunnerPick& runner);
+    void apply_surplus(const AnswerHead& head, const RunnerPick& runner);
 
 private:
-    void take_limit(const AnswerHead& head, const RunnerPick& runner);
-    void take_leaving(const AnswerHead& head, const RunnerPick& runner);
-    void take_backoff(const AnswerHead& head, const RunnerPick& runner);
-    void take_weights(const AnswerHead& head, const RunnerPick& runner);
-    void unreadable(const char* word, const RunnerPick& runner) const;
+    void apply_limit(const AnswerHead& head, const RunnerPick& runner);
+    void apply_leaving(const AnswerHead& head, const RunnerPick& runner);
+    void apply_backoff(const AnswerHead& head, const RunnerPick& runner);
+    void apply_weights(const AnswerHead& head, const RunnerPick& runner);
+    void log_unreadable(const char* word, const RunnerPick& runner) const;
 
     ForwardState& m_state;
     const ForwardedCall& m_call;
--- a/src/serve/forward/call_prompt.cpp
+++ b/src/serve/forward/call_prompt.cpp
@@ -19,14 +19,14 @@
 
 /// Longest time for a fetch, as a multiple of the route's objective. After it,
 /// the prompt is read instead.
-constexpr int objectives_for_fetch = 2;
+constexpr int max_fetch_objectives = 2;
 
 using SecondsByZone = std::map<std::string, double>;
 
 /// Sets the zone and time of `near` to those of the zone from which fetching
 /// takes longest in total.
 void
-add_longest(KeptNear& near, const SecondsByZone& seconds_by_zone)
+set_slowest_zone(KeptNear& near, const SecondsByZone& seconds_by_zone)
 {
     for (const auto& [zone, time] : seconds_by_zone)
         if (time > seconds(near.fetch_time)) {
@@ -37,7 +37,7 @@
 
 /// Returns the letter for `place` in the log; see CallPrompt::summary().
 char
-letter_of(const KeptPlace& place)
+log_letter(const KeptPlace& place)
 {
     using Reason = KeptPlace::Reason;
     if (place.kind == KeptPlace::Kind::Fetch)
@@ -65,20 +65,20 @@
 
 } // namespace
 
-CallPrompt::CallPrompt(ForwardState& state, KeptAsker& kept,
+CallPrompt::CallPrompt(ForwardState& state, KeptLocator& kept,
                        const ForwardedCall& call, Micros objective)
     : m_state(state), m_kept(kept), m_call(call), m_objective(objective)
 {
 }
 
 KeptNear
-CallPrompt::near(const KeptSpace& space, const ServiceMap& map,
-                 const EngineInfo& engine)
+CallPrompt::fetch_estimate(const KeptSpace& space, const ServiceMap& map,
+                           const EngineInfo& engine)
 {
     const auto parts = m_call.generation->shared_parts();
     if (parts.empty())
         return {};
-    const auto answer = m_kept.look(space, parts);
+    const auto answer = m_kept.locate_locally(space, parts);
     if (!answer)
         return {};
     KeptNear near;
@@ -93,13 +93,13 @@
                 static_cast<double>(parts[i].tokens) * engine.token_bytes /
                 store->link_bytes_per_second;
     }
-    add_longest(near, seconds_by_zone);
+    set_slowest_zone(near, seconds_by_zone);
     return near;
 }
 
 void
-CallPrompt::ask(const KeptSpace& space, std::string_view zone, Micros time_left,
-                SendTerms& terms)
+CallPrompt::locate_parts(const KeptSpace& space, std::string_view zone,
+                         Micros time_left, SendTerms& terms)
 {
     m_zone = zone;
     const auto parts = m_call.generation->shared_parts();
@@ -108,26 +108,26 @@
     terms.space = space.text();
     if (parts.empty())
         return;
-    const KeptAnswer answer = m_kept.ask(space, parts, time_left);
+    const KeptAnswer answer = m_kept.locate(space, parts, time_left);
     m_places = answer.places;
     m_space = answer.space;
-    m_state.fetches.with([&](FetchDelayTracker& watch) {
-        watch.skip_slow_stores(parts, m_places, m_zone, m_objective,
-                               random_bits(), monotonic_now());
+    m_state.fetches.with([&](FetchDelayTracker& tracker) {
+        tracker.skip_slow_stores(parts, m_places, m_zone, m_objective,
+                                 random_bits(), monotonic_now());
     });
     terms.space = answer.space;
     terms.places = m_places;
-    fetch_or_read(answer, terms);
+    apply_places(answer, terms);
 }
 
 /// Counts the parts that are fetched, saved and read, and sets the time by
 /// which the fetches must end.
 void
-CallPrompt::fetch_or_read(const KeptAnswer& answer, SendTerms& terms)
+CallPrompt::apply_places(const KeptAnswer& answer, SendTerms& terms)
 {
     const auto parts = m_call.generation->shared_parts();
     const auto patience = std::chrono::duration_cast<std::chrono::milliseconds>(
-        m_objective * objectives_for_fetch);
+        m_objective * max_fetch_objectives);
     RunnerMillis until =
         answer.clock + static_cast<RunnerMillis>(patience.count());
     for (std::size_t i = 0; i < parts.size(); ++i) {
@@ -173,47 +173,48 @@
 }
 
 void
-CallPrompt::sent(TimePoint now, Micros runner_wait)
+CallPrompt::note_sent(TimePoint now, Micros runner_wait)
 {
-    m_read = false;
+    m_is_read = false;
     m_expected = now + runner_wait + reading_time(m_tokens_to_read);
-    m_watched.reset();
+    m_measured.reset();
     // The time to the first event measures a store only if the runner reads
     // none of the shared parts.
     if (!fetches_all())
         return;
-    m_watched = FetchPath{store_of_largest(), m_zone};
-    m_state.fetches.with([this](FetchDelayTracker& watch) {
-        watch.sent(*m_watched, m_expected);
+    m_measured = FetchPath{store_of_largest(), m_zone};
+    m_state.fetches.with([this](FetchDelayTracker& tracker) {
+        tracker.sent(*m_measured, m_expected);
     });
 }
 
 void
-CallPrompt::first_event()
+CallPrompt::note_first_event()
 {
-    m_read = true;
-    if (!m_watched)
+    m_is_read = true;
+    if (!m_measured)
         return;
-    m_state.fetches.with([this](FetchDelayTracker& watch) {
-        watch.first_event(*m_watched, m_expected, monotonic_now());
+    m_state.fetches.with([this](FetchDelayTracker& tracker) {
+        tracker.first_event(*m_measured, m_expected, monotonic_now());
     });
 }
 
 void
-CallPrompt::ended()
+CallPrompt::note_ended()
 {
-    if (m_read || !m_watched)
+    if (m_is_read || !m_measured)
         return;
-    m_state.fetches.with([this](FetchDelayTracker& watch) {
-        watch.ended(*m_watched, m_expected);
+    m_state.fetches.with([this](FetchDelayTracker& tracker) {
+        tracker.ended(*m_measured, m_expected);
     });
 }
 
 void
-CallPrompt::not_run()
+CallPrompt::cancel_saves()
 {
     if (m_call.generation)
-        m_kept.not_saved(m_space, m_call.generation->shared_parts(), m_places);
+        m_kept.cancel_saves(m_space, m_call.generation->shared_parts(),
+                            m_places);
 }
 
 std::string
@@ -221,7 +222,7 @@
 {
     std::string text;
     for (const KeptPlace& place : m_places)
-        text += letter_of(place);
+        text += log_letter(place);
     return text;
 }
 
--- a/src/serve/forward/call_prompt.h
+++ b/src/serve/forward/call_prompt.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "forward_state.h"
-#include "kept_asker.h"
+#include "kept_locator.h"
 
 #include <crosslink/base/time.h>
 #include <crosslink/forward/forwarded_call.h>
@@ -28,34 +28,34 @@
 public:
     /// All references must outlive this object. `objective` is the route's
     /// latency objective for the first event.
-    CallPrompt(ForwardState& state, KeptAsker& kept, const ForwardedCall& call,
-               Micros objective);
+    CallPrompt(ForwardState& state, KeptLocator& kept,
+               const ForwardedCall& call, Micros objective);
 
     /// Returns the zone from which fetching takes longest for a runner with
     /// the properties `engine`, with that time and the number of tokens that
     /// would be fetched. Only stores that `map` lists are counted.
-    KeptNear near(const KeptSpace& space, const ServiceMap& map,
-                  const EngineInfo& engine);
+    KeptNear fetch_estimate(const KeptSpace& space, const ServiceMap& map,
+                            const EngineInfo& engine);
     /// Looks up where the KV of the shared parts is stored under `space`, and
     /// adds to `terms` what the runner in `zone` is to do with each part. The
     /// call must be a generation that ends within `time_left`.
-    void ask(const KeptSpace& space, std::string_view zone, Micros time_left,
-             SendTerms& terms);
+    void locate_parts(const KeptSpace& space, std::string_view zone,
+                      Micros time_left, SendTerms& terms);
     /// Records that the call is sent at `now` to a runner that is expected to
     /// start on it after `runner_wait`.
-    void sent(TimePoint now, Micros runner_wait);
+    void note_sent(TimePoint now, Micros runner_wait);
     /// Records the first event of the answer: the prompt has been read.
-    void first_event();
+    void note_first_event();
     /// Records that the call ended at this runner, with or without an event.
-    void ended();
+    void note_ended();
     /// Releases the saves that were assigned to the call. To be called only if
     /// the call certainly did not run.
-    void not_run();
+    void cancel_saves();
 
     /// Returns the tokens that the runner must read.
     std::uint64_t tokens_to_read() const { return m_tokens_to_read; }
     /// True once the first event has arrived.
-    bool is_read() const { return m_read; }
+    bool is_read() const { return m_is_read; }
     /// Returns one letter for each shared part, for the log: `f` for fetched,
     /// `s` for read and saved. A part that is only read has the reason: `b`
     /// another call is saving it, `g` it is about to be freed, `a` its store
@@ -64,12 +64,12 @@
     std::string summary() const;
 
 private:
-    void fetch_or_read(const KeptAnswer& answer, SendTerms& terms);
+    void apply_places(const KeptAnswer& answer, SendTerms& terms);
     bool fetches_all() const;
     const std::string& store_of_largest() const;
 
     ForwardState& m_state;
-    KeptAsker& m_kept;
+    KeptLocator& m_kept;
     const ForwardedCall& m_call;
     const Micros m_objective;
     std::string m_space;             ///< Space that the call runs under.
@@ -77,10 +77,10 @@
     std::string m_zone;              ///< Of the runner.
     /// Store and zone whose fetch latency the call measures: those of the
     /// largest part, if all parts are fetched.
-    std::optional<FetchPath> m_watched;
+    std::optional<FetchPath> m_measured;
     std::uint64_t m_tokens_to_read = 0;
     TimePoint m_expected{}; ///< Of the first event, without fetch times.
-    bool m_read = false;
+    bool m_is_read = false;
 };
 
 } // namespace crosslink
--- a/src/serve/forward/caller_link.h
+++ b/src/serve/forward/caller_link.h
@@ -28,7 +28,7 @@
     /// Ends the body as complete.
     virtual void finish() = 0;
     /// Aborts the answer so that the caller can't take it for complete.
-    virtual void break_off() = 0;
+    virtual void abort() = 0;
     /// True once answer() or begin() was called.
     virtual bool begun() const = 0;
     /// Returns the descriptor of the caller's socket, to detect a disconnect.
--- a/src/serve/forward/crash_watch.cpp
+++ b/src/serve/forward/crash_watch.cpp
@@ -27,7 +27,7 @@
 /// port. The platform's list shows an exit only three heartbeats later, when
 /// the request has already been sent to other runners.
 ProcessFate
-CrashWatch::fate_of(const RunnerPick& runner)
+CrashWatch::check_process(const RunnerPick& runner)
 {
     PortLook look = look_at_port(runner.address);
     if (look.connection)
@@ -38,9 +38,9 @@
 }
 
 void
-CrashWatch::broken(const RunnerPick& runner)
+CrashWatch::note_broken(const RunnerPick& runner)
 {
-    const ProcessFate fate = fate_of(runner);
+    const ProcessFate fate = check_process(runner);
     const bool known =
         broke({runner.id, runner.start_ms, runner.address}, true);
     if (fate == ProcessFate::Ended || known)
@@ -56,19 +56,19 @@
 }
 
 void
-CrashWatch::failed(const RunnerPick& runner)
+CrashWatch::note_failed(const RunnerPick& runner)
 {
     if (broke({runner.id, runner.start_ms, runner.address}, false))
         m_state.note_runner_exit(runner.incarnation(), "port");
 }
 
 void
-CrashWatch::served(const RunnerPick& runner, TimePoint sent_at)
+CrashWatch::note_served(const RunnerPick& runner, TimePoint sent_at)
 {
     answered();
-    m_state.breaks.with([&](UnresolvedFailures& breaks) {
-        if (!breaks.empty())
-            breaks.lives(runner.incarnation(), sent_at);
+    m_state.breaks.with([&](UnresolvedFailures& failures) {
+        if (!failures.empty())
+            failures.lives(runner.incarnation(), sent_at);
     });
 }
 
--- a/src/serve/forward/crash_watch.h
+++ b/src/serve/forward/crash_watch.h
@@ -29,15 +29,15 @@
     /// Records that the connection to `runner` broke before the answer was
     /// complete. Checks whether the runner still accepts connections, which
     /// takes up to 100 ms.
-    void broken(const RunnerPick& runner);
+    void note_broken(const RunnerPick& runner);
     /// Records that `runner` answered that the call failed there. A process may
     /// send such an answer just before it exits.
-    void failed(const RunnerPick& runner);
+    void note_failed(const RunnerPick& runner);
     /// Records that `runner` answered the call, which was sent at `sent_at`.
-    void served(const RunnerPick& runner, TimePoint sent_at);
+    void note_served(const RunnerPick& runner, TimePoint sent_at);
 
 private:
-    ProcessFate fate_of(const RunnerPick& runner);
+    ProcessFate check_process(const RunnerPick& runner);
 
     ForwardState& m_state;
     const ForwardedCall& m_call;
--- a/src/serve/forward/forward_answer.cpp
+++ b/src/serve/forward/forward_answer.cpp
@@ -22,13 +22,13 @@
 
 /// Longest time between two checks whether a call must be withdrawn: newer
 /// weights may be named in between, or the platform become unreachable.
-constexpr Micros withdraw_look = std::chrono::milliseconds(200);
+constexpr Micros max_check_interval = std::chrono::milliseconds(200);
 /// Shortest time between them: the time until the withdrawal does not decrease
 /// while the platform is unreachable.
-constexpr Micros least_withdraw_look = std::chrono::milliseconds(10);
+constexpr Micros min_check_interval = std::chrono::milliseconds(10);
 /// Greatest number of answers to earlier calls on the connection that are
 /// skipped.
-constexpr int most_surplus = 3;
+constexpr int max_surplus_answers = 3;
 constexpr int first_success = 200;
 constexpr int first_redirect = 300;
 constexpr int first_server_error = 500;
@@ -77,7 +77,7 @@
 {
     m_connection->send(m_state.ports.wire.encode_call(m_call, terms),
                        m_call.body);
-    for (int i = 0; i < most_surplus; ++i) {
+    for (int i = 0; i < max_surplus_answers; ++i) {
         if (const auto ended = await_answer())
             return *ended;
         const auto head = next_head();
@@ -92,7 +92,7 @@
 ForwardRun::await_answer()
 {
     for (;;) {
-        switch (m_connection->wait(next_look())) {
+        switch (m_connection->wait(time_to_next_check())) {
         case CallConnection::Wait::CallerGone:
             return Outcome::CallerGone;
         case CallConnection::Wait::Ready:
@@ -103,27 +103,27 @@
         }
         if (time_left().count() == 0)
             return Outcome::TimedOut;
-        if (waits_on_weights() && m_choice.is_outdated())
+        if (may_be_withdrawn() && m_choice.is_outdated())
             return Outcome::Outdated;
-        if (m_silent_at && monotonic_now() >= *m_silent_at && gives_up_silent())
+        if (m_silent_at && monotonic_now() >= *m_silent_at && retries_silent())
             return Outcome::Silent;
     }
 }
 
 /// Returns whether the call is to be withdrawn when its weights are forbidden.
 bool
-ForwardRun::waits_on_weights() const
+ForwardRun::may_be_withdrawn() const
 {
     return !has_begun() && m_call.generation.has_value();
 }
 
 /// Returns how long to wait for the answer before the next check.
 Micros
-ForwardRun::next_look() const
+ForwardRun::time_to_next_check() const
 {
     Micros next = time_left();
-    if (waits_on_weights())
-        next = std::min(next, next_weights_look());
+    if (may_be_withdrawn())
+        next = std::min(next, time_to_weights_check());
     if (m_silent_at)
         next = std::min(next, *m_silent_at - monotonic_now());
     return next;
@@ -133,10 +133,11 @@
 /// With a fixed check every 0.2 s, the runner had only 0.1 s left to notice
 /// that its caller has disconnected.
 Micros
-ForwardRun::next_weights_look() const
+ForwardRun::time_to_weights_check() const
 {
-    const Micros left = m_choice.weights_left().value_or(withdraw_look);
-    return std::clamp(left, least_withdraw_look, withdraw_look);
+    const Micros left =
+        m_choice.time_to_withdrawal().value_or(max_check_interval);
+    return std::clamp(left, min_check_interval, max_check_interval);
 }
 
 /// Called once if nothing arrived on a reused connection for too long. Closes
@@ -144,17 +145,17 @@
 /// too. Returns whether the call is retried; otherwise it goes on waiting, as
 /// the runner may have received it.
 bool
-ForwardRun::gives_up_silent()
+ForwardRun::retries_silent()
 {
     m_silent_at.reset();
     m_state.connections.drop_unproven(m_choice.pick().address, m_connected_at);
-    const bool repeats = m_route.repeatable() &&
-                         m_runs + 1 < m_route.most_attempts && take_repeat();
+    const bool retries = m_route.repeatable() &&
+                         m_runs + 1 < m_route.most_attempts && take_retry();
     LogLine("connection_silent")
         .field("request", m_call.id)
         .field("runner", m_choice.pick().id)
-        .field("repeats", repeats);
-    return repeats;
+        .field("repeats", retries);
+    return retries;
 }
 
 /// Returns the head of the answer to this call. Returns nothing if the answer
@@ -170,7 +171,7 @@
         .field("request", m_call.id)
         .field("runner", m_choice.pick().id)
         .field("of_request", head.call_id);
-    m_intake.take_surplus(head, m_choice.pick());
+    m_intake.apply_surplus(head, m_choice.pick());
     while (!m_connection->read_some().empty()) {
     }
     return std::nullopt;
@@ -179,7 +180,7 @@
 ForwardRun::Outcome
 ForwardRun::take_answer(CallerLink& link, const AnswerHead& head)
 {
-    m_intake.take(head, m_choice.pick());
+    m_intake.apply(head, m_choice.pick());
     if (head.not_run) {
         LogLine("call_refused")
             .field("request", m_call.id)
@@ -203,9 +204,9 @@
 }
 
 void
-ForwardRun::saw_first_event()
+ForwardRun::note_first_event()
 {
-    m_prompt.first_event();
+    m_prompt.note_first_event();
     m_state.runners.with([this](RunnerTable& table) {
         table.prompt_read(m_choice.pick().incarnation(),
                           m_prompt.tokens_to_read());
@@ -230,7 +231,7 @@
         return Outcome::Broken;
     keep_connection(head);
     m_answered_failure = head.status >= first_server_error && head.genuine;
-    if (repeats_failed()) {
+    if (retries_failed()) {
         m_failed_answer = {head, std::move(body)};
         return Outcome::Failed;
     }
@@ -243,11 +244,11 @@
 /// run took. If a service fails one run in seven, one caller in seven gets the
 /// failure without a retry, and one in fifty with it.
 bool
-ForwardRun::repeats_failed()
+ForwardRun::retries_failed()
 {
     return m_answered_failure && m_route.repeatable() &&
            m_runs + 1 < m_route.most_attempts &&
-           time_left() > monotonic_now() - m_sent_at && take_repeat();
+           time_left() > monotonic_now() - m_sent_at && take_retry();
 }
 
 ForwardRun::Outcome
@@ -283,7 +284,7 @@
                         const std::string& events)
 {
     if (!m_prompt.is_read())
-        saw_first_event();
+        note_first_event();
     if (!link.begun()) {
         m_first_event = monotonic_now() - m_call.received_at;
         m_state.counters.first_event.add(m_first_event);
--- a/src/serve/forward/forward_end.cpp
+++ b/src/serve/forward/forward_end.cpp
@@ -23,7 +23,7 @@
 /// Retry time where no runner may accept the call. A runner must load weights
 /// or start first: loading takes 1.1 to 2.6 s, and several runners load at
 /// once.
-constexpr Micros come_back_unknown = std::chrono::seconds(1);
+constexpr Micros unknown_retry_time = std::chrono::seconds(1);
 
 } // namespace
 
@@ -31,10 +31,10 @@
 /// otherwise, if a runner answered with a failure before, the caller gets that
 /// answer.
 void
-ForwardRun::give_up(CallerLink& link, Outcome outcome)
+ForwardRun::end_without_answer(CallerLink& link, Outcome outcome)
 {
     if (link.begun())
-        link.break_off();
+        link.abort();
     else if (m_failed_answer)
         link.answer(m_failed_answer->head.status, m_failed_answer->head.headers,
                     m_failed_answer->body);
@@ -54,7 +54,7 @@
         .field("request", m_call.id)
         .field("digest", m_crashes.digest());
     if (link.begun()) {
-        link.break_off();
+        link.abort();
         return;
     }
     throw Error(ErrorCode::RequestEndsUpstreams,
@@ -65,12 +65,12 @@
 /// Returns the time after which a caller should retry a call that found no
 /// runner.
 Micros
-ForwardRun::time_to_chance() const
+ForwardRun::retry_time() const
 {
     const auto chance = m_next_available.earliest();
     const Micros left =
         chance ? std::max(min_retry_delay, *chance - monotonic_now())
-               : come_back_unknown;
+               : unknown_retry_time;
     // Callers refused during a backoff, or because of a limit, would all retry
     // at the same moment.
     const bool come_together =
@@ -82,13 +82,13 @@
 /// by the runners it was sent to, and that may be sent to no more runners. It
 /// is the shortest one if a runner accepts calls now.
 Micros
-ForwardRun::time_after_refusals()
+ForwardRun::retry_time_after_refusals()
 {
-    m_choice.pass_over_none();
+    m_choice.clear_excluded();
     m_next_available = m_choice.next_available();
     const auto chance = m_next_available.earliest();
     return chance && *chance <= monotonic_now() ? min_retry_delay
-                                                : time_to_chance();
+                                                : retry_time();
 }
 
 /// Refuses a call that no runner may get because of the rate limits that the
@@ -99,7 +99,7 @@
     ++m_state.counters.calls_limited;
     throw Error(ErrorCode::UpstreamsLimited,
                 "runners have reached the rate limits that they set",
-                RunState::NotDispatched, time_to_chance());
+                RunState::NotDispatched, retry_time());
 }
 
 void
@@ -115,7 +115,7 @@
     case Outcome::NotRun:
     case Outcome::Misdirected:
         throw Error(ErrorCode::UpstreamRefused, "runners have no room",
-                    RunState::RefusedBeforeRun, time_after_refusals());
+                    RunState::RefusedBeforeRun, retry_time_after_refusals());
     default:
         if (m_next_available.limited)
             fail_limited();
@@ -123,7 +123,7 @@
                     m_next_available.backoff_ends_at
                         ? "runners asked for a backoff"
                         : "no runner accepts calls",
-                    RunState::NotDispatched, time_to_chance());
+                    RunState::NotDispatched, retry_time());
     }
 }
 
--- a/src/serve/forward/forward_instance.cpp
+++ b/src/serve/forward/forward_instance.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-constexpr Micros step = std::chrono::milliseconds(50);
+constexpr Micros poll_interval = std::chrono::milliseconds(50);
 /// Time during which a stopping instance still serves calls. The load balancer
 /// checks every second and removes an instance after two failed checks. Callers
 /// arrive until then, and longer if too few instances of the zone are left.
@@ -35,22 +35,24 @@
     : m_state(settings, ports), m_coordinator(m_state),
       m_coordinator_link(m_state, m_coordinator),
       m_kept(m_state, m_coordinator_link), m_path(m_state, m_kept),
-      m_news(m_state, m_coordinator), m_desk(m_state, m_coordinator, m_news),
-      m_fleet(m_state, m_coordinator, m_desk, m_news), m_feed(m_state, m_news),
-      m_exchange(m_state, m_coordinator, m_desk, m_news),
+      m_changes(m_state, m_coordinator),
+      m_exchange_handler(m_state, m_coordinator, m_changes),
+      m_fleet(m_state, m_coordinator, m_exchange_handler, m_changes),
+      m_feed(m_state, m_changes),
+      m_exchange(m_state, m_coordinator, m_exchange_handler, m_changes),
       m_looks(
           m_state.breaks, m_state.unresolved_failure_added,
           [this](const ProbeTarget& port, PortLook look) {
-              looked(port, std::move(look));
+              port_checked(port, std::move(look));
           },
-          [this] { m_state.settle_gone_runners(); }),
+          [this] { m_state.note_gone_runners(); }),
       m_server(m_state, m_path)
 {
 }
 
 /// Records the result of a check of the port of a runner that broke calls.
 void
-ForwardInstance::looked(const ProbeTarget& port, PortLook look)
+ForwardInstance::port_checked(const ProbeTarget& port, PortLook look)
 {
     if (look.connection)
         m_state.connections.put_back(port.address, std::move(look.connection),
@@ -68,7 +70,7 @@
         .field("zone", m_state.settings.zone)
         .field("bind", m_state.settings.bind);
     while (!stop_asked())
-        std::this_thread::sleep_for(step);
+        std::this_thread::sleep_for(poll_interval);
     stop();
 }
 
@@ -77,14 +79,14 @@
 {
     LogLine("stop_began").field("open", m_server.open_calls());
     m_state.stopping = true;
-    m_coordinator.give_up();
+    m_coordinator.resign();
     const TimePoint began = monotonic_now();
     const TimePoint last =
         began +
         std::max(m_state.settings.stop_grace() - kill_margin, Micros{0});
     const TimePoint last_taken = std::min(began + balancer_lag, last);
     while (monotonic_now() < last_taken)
-        std::this_thread::sleep_for(step);
+        std::this_thread::sleep_for(poll_interval);
     // Calls accepted from here on might not end in time.
     m_state.refusing = true;
     m_server.stop_listening();
@@ -93,13 +95,13 @@
                monotonic_now() >= m_server.latest_call() + quiet_time;
     };
     while (!quiet() && monotonic_now() < last)
-        std::this_thread::sleep_for(step);
+        std::this_thread::sleep_for(poll_interval);
     // A call that arrived since the last check is answered as well. A later
     // one is not read: its caller knows from the closed connection that it did
     // not run.
     m_server.stop_reading();
     while (m_server.open_calls() > 0 && monotonic_now() < last)
-        std::this_thread::sleep_for(step);
+        std::this_thread::sleep_for(poll_interval);
     LogLine("stopped").field("open", m_server.open_calls());
 }
 
--- a/src/serve/forward/forward_instance.h
+++ b/src/serve/forward/forward_instance.h
@@ -6,7 +6,7 @@
 #include "forward_path.h"
 #include "forward_server.h"
 #include "forward_state.h"
-#include "kept_asker.h"
+#include "kept_locator.h"
 
 #include <serve/coordinator/coordinator.h>
 #include <serve/end_looks.h>
@@ -31,16 +31,16 @@
     void serve(const std::function<bool()>& stop_asked);
 
 private:
-    void looked(const ProbeTarget& port, PortLook look);
+    void port_checked(const ProbeTarget& port, PortLook look);
     void stop();
 
     ForwardState m_state;
     Coordinator m_coordinator;
     CoordinatorLink m_coordinator_link;
-    KeptAsker m_kept;
+    KeptLocator m_kept;
     ForwardPath m_path;
-    ChangeReceiver m_news;
-    ExchangeHandler m_desk;
+    ChangeReceiver m_changes;
+    ExchangeHandler m_exchange_handler;
     FleetServer m_fleet;
     FeedDuty m_feed;
     ExchangeDuty m_exchange;
--- a/src/serve/forward/forward_path.cpp
+++ b/src/serve/forward/forward_path.cpp
@@ -22,9 +22,9 @@
 
 /// Retry time for a caller that was refused because this instance has no
 /// configuration yet.
-constexpr Micros come_back = std::chrono::milliseconds(500);
+constexpr Micros unconfigured_retry_time = std::chrono::milliseconds(500);
 /// Retry time for a caller whose call another instance accepts at once.
-constexpr Micros at_once = std::chrono::milliseconds(50);
+constexpr Micros stopping_retry_time = std::chrono::milliseconds(50);
 
 /// Returns `span` as a Retry-After value: seconds with fractions.
 std::string
@@ -47,7 +47,7 @@
     link.answer(error_status(failure.code()), headers, body);
 }
 
-ForwardPath::ForwardPath(ForwardState& state, KeptAsker& kept)
+ForwardPath::ForwardPath(ForwardState& state, KeptLocator& kept)
     : m_state(state), m_kept(kept)
 {
 }
@@ -85,21 +85,21 @@
 {
     if (m_state.refusing)
         throw Error(ErrorCode::NotReady, "this instance is shutting down",
-                    RunState::NotDispatched, at_once);
+                    RunState::NotDispatched, stopping_retry_time);
     await_configuration();
     // The call uses one version of the configuration from start to end. A
     // change takes effect with the next call.
     const auto map = m_state.map();
     if (!m_state.knows_fleet())
         throw Error(ErrorCode::NotReady, "this instance has no configuration",
-                    RunState::NotDispatched, come_back);
+                    RunState::NotDispatched, unconfigured_retry_time);
     const ServiceRoute* route = map->find_route(call.host, call.path());
     if (!route)
         throw Error(ErrorCode::UnknownPath, "no route for this host and path");
-    const AccountSettings* holder = map->find_account(call.api_key);
-    if (!holder && map->needs_key && !route->open)
+    const AccountSettings* account = map->find_account(call.api_key);
+    if (!account && map->needs_key && !route->open)
         throw Error(ErrorCode::UnknownKey, "no account has this key");
-    ForwardRun run(m_state, m_kept, call, *route, holder);
+    ForwardRun run(m_state, m_kept, call, *route, account);
     run.run(link);
     ++(run.caller_gone() ? m_state.counters.callers_gone
                          : m_state.counters.answered);
--- a/src/serve/forward/forward_path.h
+++ b/src/serve/forward/forward_path.h
@@ -5,7 +5,7 @@
 
 #include "caller_link.h"
 #include "forward_state.h"
-#include "kept_asker.h"
+#include "kept_locator.h"
 
 namespace crosslink
 {
@@ -18,7 +18,7 @@
 class ForwardPath
 {
 public:
-    ForwardPath(ForwardState& state, KeptAsker& kept);
+    ForwardPath(ForwardState& state, KeptLocator& kept);
 
     /// Serves one call. The caller gets an answer in every case.
     void serve(const ForwardedCall& call, CallerLink& link);
@@ -28,7 +28,7 @@
     void forward(const ForwardedCall& call, CallerLink& link);
 
     ForwardState& m_state;
-    KeptAsker& m_kept;
+    KeptLocator& m_kept;
 };
 
 /// Sends the answer for a call that failed with `failure`: its status, its name
--- a/src/serve/forward/forward_run.cpp
+++ b/src/serve/forward/forward_run.cpp
@@ -32,21 +32,21 @@
 /// A reused connection on which nothing arrives for the time left divided by
 /// this may be dead. The rest of the time is enough for a new connection, and
 /// a healthy runner answers far sooner.
-constexpr int part_silent = 2;
+constexpr int silence_divisor = 2;
 /// Least time between two searches for a runner: the first slot that a runner
 /// has free may go to another call.
-constexpr Micros wait_step = std::chrono::milliseconds(15);
+constexpr Micros min_wait = std::chrono::milliseconds(15);
 } // namespace
 
-ForwardRun::ForwardRun(ForwardState& state, KeptAsker& kept,
+ForwardRun::ForwardRun(ForwardState& state, KeptLocator& kept,
                        const ForwardedCall& call, const ServiceRoute& route,
-                       const AccountSettings* holder)
-    : m_state(state), m_call(call), m_route(route), m_holder(holder),
+                       const AccountSettings* account)
+    : m_state(state), m_call(call), m_route(route), m_account(account),
       m_deadline(call.received_at + std::min(call.time_allowed, route.timeout)),
       m_events(parse_leading_integer<std::uint64_t>(call.last_event)),
       m_prompt(state, kept, call, route.objective),
-      m_choice(state, m_prompt, call, route, holder),
-      m_crashes(state, call, holder ? holder->name : std::string()),
+      m_choice(state, m_prompt, call, route, account),
+      m_crashes(state, call, account ? account->name : std::string()),
       m_intake(state, call)
 {
 }
@@ -79,20 +79,21 @@
             return;
         }
         if (!found) {
-            give_up(link, m_runs > 0 ? Outcome::Broken : Outcome::NotSent);
+            end_without_answer(link,
+                               m_runs > 0 ? Outcome::Broken : Outcome::NotSent);
             return;
         }
-        refuse_beyond_limit();
+        refuse_if_queue_too_long();
         const Outcome outcome = attempt(link);
-        settle(outcome);
+        record_outcome(outcome);
         if (outcome == Outcome::Done)
             return;
         if (outcome == Outcome::CallerGone) {
             m_caller_gone = true;
             return;
         }
-        if (!may_go_on(outcome)) {
-            give_up(link, outcome);
+        if (!may_send_again(outcome)) {
+            end_without_answer(link, outcome);
             return;
         }
     }
@@ -105,14 +106,14 @@
 {
     if (m_crashes.blocked())
         return false;
-    m_choice.spare_ending(!m_crashes.failed_before());
+    m_choice.spare_exiting(!m_crashes.failed_before());
     return m_choice.choose() || wait_for_runner();
 }
 
 /// Throws Error if the call has not been sent yet and would wait too long in
 /// the chosen runner's queue.
 void
-ForwardRun::refuse_beyond_limit()
+ForwardRun::refuse_if_queue_too_long()
 {
     if (m_sends > 0 || !m_call.generation || !m_call.last_event.empty())
         return;
@@ -135,14 +136,14 @@
     for (;;) {
         // A runner that refused the call earlier may have room by then.
         if (m_runs == 0)
-            m_choice.pass_over_none();
-        const TimePoint latest = latest_place();
-        m_next_available = m_choice.keep_place(latest);
+            m_choice.clear_excluded();
+        const TimePoint latest = latest_useful_time();
+        m_next_available = m_choice.reserve_next(latest);
         if (!m_next_available.at || *m_next_available.at >= latest)
             return false;
         const Micros wait = *m_next_available.at - monotonic_now();
-        std::this_thread::sleep_for(std::max(wait, wait_step));
-        if (m_choice.choose_kept())
+        std::this_thread::sleep_for(std::max(wait, min_wait));
+        if (m_choice.choose_reserved())
             return true;
     }
 }
@@ -152,7 +153,7 @@
 /// half of the remaining time only: the other accounts would find all slots
 /// reserved otherwise.
 TimePoint
-ForwardRun::latest_place() const
+ForwardRun::latest_useful_time() const
 {
     const TimePoint useful =
         std::min(m_deadline, m_call.received_at + m_route.objective);
@@ -175,7 +176,7 @@
     try {
         outcome = exchange(link, sent);
     } catch (const std::exception& failure) {
-        silent = note_lost_contact(failure);
+        silent = note_connection_failure(failure);
         LogLine("answer_broken")
             .field("request", m_call.id)
             .field("runner", m_choice.pick().id)
@@ -183,7 +184,7 @@
             .field("error", failure.what());
     }
     note_ended(outcome);
-    look_at_runner(outcome, silent);
+    check_runner(outcome, silent);
     return outcome;
 }
 
@@ -194,7 +195,7 @@
     m_sent_at = monotonic_now();
     m_answered_failure = false;
     m_choice.sent(m_prompt.tokens_to_read(), resident_tokens(), m_sent_at);
-    m_prompt.sent(m_sent_at, m_choice.pick().wait);
+    m_prompt.note_sent(m_sent_at, m_choice.pick().wait);
     m_crashes.sent();
     ++m_sends;
     ++m_state.counters.sends;
@@ -211,7 +212,7 @@
             .field("version", m_choice.pick().version)
             .field("newest", m_choice.newest_weights());
     m_connection.reset();
-    m_prompt.ended();
+    m_prompt.note_ended();
     m_state.runners.with([this, outcome](RunnerTable& table) {
         if (!m_prompt.is_read())
             table.prompt_read(m_choice.pick().incarnation(),
@@ -222,22 +223,22 @@
                       monotonic_now() - m_sent_at);
     });
     if (outcome == Outcome::NotRun || outcome == Outcome::Misdirected)
-        m_prompt.not_run();
+        m_prompt.cancel_saves();
 }
 
 /// Checks whether the runner's process exited, if the connection broke. A
 /// runner that sends nothing would not answer this check either.
 void
-ForwardRun::look_at_runner(Outcome outcome, bool silent)
+ForwardRun::check_runner(Outcome outcome, bool silent)
 {
     if (outcome == Outcome::Broken && !silent)
-        m_crashes.broken(m_choice.pick());
+        m_crashes.note_broken(m_choice.pick());
 }
 
 /// Records that the chosen runner did not accept a connection or broke it.
 /// Returns whether the failure is a timeout: the runner sends nothing at all.
 bool
-ForwardRun::note_lost_contact(const std::exception& failure)
+ForwardRun::note_connection_failure(const std::exception& failure)
 {
     const bool silent =
         dynamic_cast<const Poco::TimeoutException*>(&failure) != nullptr;
@@ -261,7 +262,7 @@
             m_state.connections.take(m_choice.pick().address, m_connected_at);
     reused = m_connection != nullptr;
     if (reused) {
-        m_silent_at = m_connected_at + time_left() / part_silent;
+        m_silent_at = m_connected_at + time_left() / silence_divisor;
         return true;
     }
     try {
@@ -269,7 +270,7 @@
             m_choice.pick().address, std::min(connect_time, time_left()));
         return true;
     } catch (const Poco::Exception& failure) {
-        note_lost_contact(failure);
+        note_connection_failure(failure);
         LogLine("not_connected")
             .field("request", m_call.id)
             .field("runner", m_choice.pick().id)
@@ -284,27 +285,27 @@
     SendTerms terms;
     terms.runner = m_choice.pick().id;
     terms.time_left = time_left();
-    if (m_holder)
-        terms.account = m_holder->name;
+    if (m_account)
+        terms.account = m_account->name;
     if (!m_call.generation)
         return terms;
-    terms.priority = m_holder && m_holder->has_priority ? m_holder->priority
-                                                        : m_route.priority;
+    terms.priority = m_account && m_account->has_priority ? m_account->priority
+                                                          : m_route.priority;
     terms.version = m_choice.pick().version;
     if (const auto last = m_events.last_event())
         terms.after_event = std::to_string(*last);
-    m_prompt.ask(m_choice.kept_space(), m_choice.pick().zone, terms.time_left,
-                 terms);
+    m_prompt.locate_parts(m_choice.kept_space(), m_choice.pick().zone,
+                          terms.time_left, terms);
     return terms;
 }
 
 void
-ForwardRun::settle(Outcome outcome)
+ForwardRun::record_outcome(Outcome outcome)
 {
     if (outcome == Outcome::Failed || m_answered_failure)
-        m_crashes.failed(m_choice.pick());
+        m_crashes.note_failed(m_choice.pick());
     else if (outcome == Outcome::Done)
-        m_crashes.served(m_choice.pick(), m_sent_at);
+        m_crashes.note_served(m_choice.pick(), m_sent_at);
     const TimePoint now = monotonic_now();
     const bool loading = m_call.generation &&
                          m_choice.newest_weights() > m_choice.pick().version;
@@ -338,14 +339,14 @@
 }
 
 bool
-ForwardRun::may_go_on(Outcome outcome)
+ForwardRun::may_send_again(Outcome outcome)
 {
     const bool may_have_run =
         outcome == Outcome::Broken || outcome == Outcome::Outdated ||
         outcome == Outcome::Silent || outcome == Outcome::Failed;
     if (may_have_run)
         ++m_runs;
-    m_choice.pass_over_last();
+    m_choice.exclude_last();
     const bool repeatable = m_route.repeatable();
     if (outcome == Outcome::TimedOut || time_left().count() == 0)
         return false;
@@ -354,11 +355,11 @@
     if (outcome == Outcome::NotSent || outcome == Outcome::Silent ||
         outcome == Outcome::Failed)
         return true;
-    return take_repeat();
+    return take_retry();
 }
 
 bool
-ForwardRun::take_repeat()
+ForwardRun::take_retry()
 {
     const bool granted = m_state.retries.with([this](RetryWindow& window) {
         return window.take(m_choice.service(), m_state.instance_count(),
--- a/src/serve/forward/forward_run.h
+++ b/src/serve/forward/forward_run.h
@@ -8,7 +8,7 @@
 #include "caller_link.h"
 #include "crash_watch.h"
 #include "forward_state.h"
-#include "kept_asker.h"
+#include "kept_locator.h"
 #include "runner_choice.h"
 
 #include <crosslink/base/time.h>
@@ -33,10 +33,11 @@
 class ForwardRun
 {
 public:
-    /// All references must outlive this object. `holder` is the account of the
+    /// All references must outlive this object. `account` is the account of the
     /// call; null on open routes.
-    ForwardRun(ForwardState& state, KeptAsker& kept, const ForwardedCall& call,
-               const ServiceRoute& route, const AccountSettings* holder);
+    ForwardRun(ForwardState& state, KeptLocator& kept,
+               const ForwardedCall& call, const ServiceRoute& route,
+               const AccountSettings* account);
     ~ForwardRun();
 
     /// Returns once the answer was sent or the caller disconnected. Throws
@@ -90,38 +91,38 @@
     };
 
     bool find_runner();
-    void refuse_beyond_limit();
+    void refuse_if_queue_too_long();
     bool wait_for_runner();
-    TimePoint latest_place() const;
-    Micros time_to_chance() const;
-    Micros time_after_refusals();
+    TimePoint latest_useful_time() const;
+    Micros retry_time() const;
+    Micros retry_time_after_refusals();
     Outcome attempt(CallerLink& link);
     void note_sent();
     void note_ended(Outcome outcome);
-    void look_at_runner(Outcome outcome, bool silent);
-    bool may_go_on(Outcome outcome);
-    bool take_repeat();
-    void settle(Outcome outcome);
+    void check_runner(Outcome outcome, bool silent);
+    bool may_send_again(Outcome outcome);
+    bool take_retry();
+    void record_outcome(Outcome outcome);
     SendTerms terms();
     bool connect(bool& reused);
-    bool note_lost_contact(const std::exception& failure);
+    bool note_connection_failure(const std::exception& failure);
     Outcome exchange(CallerLink& link, const SendTerms& terms);
     Outcome send_and_relay(CallerLink& link, const SendTerms& terms);
     std::optional<Outcome> await_answer();
-    bool waits_on_weights() const;
-    Micros next_look() const;
-    Micros next_weights_look() const;
-    bool gives_up_silent();
+    bool may_be_withdrawn() const;
+    Micros time_to_next_check() const;
+    Micros time_to_weights_check() const;
+    bool retries_silent();
     std::optional<AnswerHead> next_head();
     Outcome take_answer(CallerLink& link, const AnswerHead& head);
-    bool repeats_failed();
+    bool retries_failed();
     Outcome relay_whole(CallerLink& link, const AnswerHead& head);
     Outcome relay_events(CallerLink& link, const AnswerHead& head);
     bool send_events(CallerLink& link, const AnswerHead& head,
                      const std::string& events);
-    void saw_first_event();
+    void note_first_event();
     void keep_connection(const AnswerHead& head);
-    void give_up(CallerLink& link, Outcome outcome);
+    void end_without_answer(CallerLink& link, Outcome outcome);
     void end_blocked(CallerLink& link);
     [[noreturn]] void fail(Outcome outcome);
     [[noreturn]] void fail_limited();
@@ -132,7 +133,7 @@
     ForwardState& m_state;
     const ForwardedCall& m_call;
     const ServiceRoute& m_route;
-    const AccountSettings* m_holder;
+    const AccountSettings* m_account;
     const TimePoint m_deadline;
     EventTracker m_events;
     CallPrompt m_prompt;
--- a/src/serve/forward/forward_server.cpp
+++ b/src/serve/forward/forward_server.cpp
@@ -35,7 +35,7 @@
 constexpr std::uint64_t most_threads = 2000;
 /// The descriptor limit divided by this is for callers; the rest is for
 /// connections to runners.
-constexpr std::uint64_t part_for_callers = 2;
+constexpr std::uint64_t caller_descriptor_divisor = 2;
 
 HttpServerRules
 small_rules()
@@ -51,9 +51,9 @@
     const ForwardSettings& settings = state.settings;
     HttpServerRules rules;
     rules.times = state.caller_times;
-    rules.most_threads = static_cast<int>(
-        std::min({settings.memory_mb * connections_per_mb,
-                  settings.descriptors / part_for_callers, most_threads}));
+    rules.most_threads = static_cast<int>(std::min(
+        {settings.memory_mb * connections_per_mb,
+         settings.descriptors / caller_descriptor_divisor, most_threads}));
     rules.most_queued = rules.most_threads;
     return rules;
 }
--- a/src/serve/forward/forward_state.cpp
+++ b/src/serve/forward/forward_state.cpp
@@ -17,15 +17,15 @@
 {
 
 /// Greatest number of versions of a model that instances report to each other.
-constexpr std::size_t most_told = 32;
+constexpr std::size_t max_reported_versions = 32;
 
 /// How long instances report to each other that a runner may have restarted.
 /// Two exchanges up the tree and two down take 0.6 s.
-constexpr Micros lost_contact_told = std::chrono::milliseconds(1500);
+constexpr Micros lost_contact_report_time = std::chrono::milliseconds(1500);
 
 /// An action may begin only if the lease lasts for longer than this: it must
 /// arrive well before the lease can lapse.
-constexpr Micros act_time = std::chrono::milliseconds(700);
+constexpr Micros min_action_time = std::chrono::milliseconds(700);
 
 /// Returns the versions that other instances must know: those named after
 /// `since`, and the one before them, which forbids the older ones. Without that
@@ -33,10 +33,11 @@
 /// first newer one, and send calls to replaced weights for the time between the
 /// two.
 std::span<const NamedWeights>
-told_versions(const WeightsHistory& history, TimePoint since)
+versions_to_report(const WeightsHistory& history, TimePoint since)
 {
     const std::span<const NamedWeights> all(history.all());
-    std::size_t first = all.size() - std::min(all.size(), most_told);
+    std::size_t first =
+        all.size() - std::min(all.size(), max_reported_versions);
     while (first + 1 < all.size() && all[first + 1].at < since)
         ++first;
     return all.subspan(first);
@@ -108,7 +109,7 @@
     fleet.with([&](FleetView& view) {
         for (const auto& [model, history] : view.weights)
             for (const NamedWeights& named :
-                 told_versions(history, now - settings.weights_bound()))
+                 versions_to_report(history, now - settings.weights_bound()))
                 ages.push_back({model, named.version, now - named.at});
     });
     return ages;
@@ -131,7 +132,7 @@
 ForwardState::lost_contacts(TimePoint now)
 {
     const auto lost = runners.with([now](RunnerTable& table) {
-        return table.connection_failures(now - lost_contact_told);
+        return table.connection_failures(now - lost_contact_report_time);
     });
     std::vector<ConnectionFailure> result;
     result.reserve(lost.size());
@@ -166,7 +167,7 @@
 }
 
 bool
-ForwardState::may_tell_kept(TimePoint now)
+ForwardState::may_answer_kept(TimePoint now)
 {
     return coordinator_lease.with([now](DutyLease& lease) {
         return lease.held_within(kept_grace_time, now);
@@ -191,7 +192,7 @@
 {
     return coordinator_lease.with(
         [](DutyLease& lease) -> std::optional<std::uint64_t> {
-            if (lease.time_left(monotonic_now()) <= act_time)
+            if (lease.time_left(monotonic_now()) <= min_action_time)
                 return std::nullopt;
             return lease.token();
         });
@@ -234,21 +235,21 @@
     });
     const std::uint64_t version = now.first;
     const std::string& holder = now.second;
-    return m_place.with([&](KnownPlace& known) {
+    return m_position.with([&](CachedPosition& known) {
         if (known.instances_version == version && known.holder == holder)
-            return known.place;
+            return known.position;
         const FleetTree tree = fleet.with([&](const FleetView& view) {
             std::vector<InstanceInfo> instances;
             for (const auto& [name, instance] : view.instances)
                 instances.push_back(instance);
             return FleetTree(instances, holder);
         });
-        known.place = {tree.is_parent(settings.name, settings.zone),
-                       tree.parents(settings.name, settings.zone,
-                                    settings.peer_address())};
+        known.position = {tree.is_parent(settings.name, settings.zone),
+                          tree.parents(settings.name, settings.zone,
+                                       settings.peer_address())};
         known.instances_version = version;
         known.holder = holder;
-        return known.place;
+        return known.position;
     });
 }
 
--- a/src/serve/forward/forward_state.h
+++ b/src/serve/forward/forward_state.h
@@ -130,11 +130,12 @@
     Guarded<FleetView> fleet;
     Guarded<RunnerTable> runners;
     Guarded<RetryWindow> retries;
-    Guarded<FairShareTracker> turns; ///< Fair shares at runners with limits.
+    /// Shares of client accounts at runners with limits.
+    Guarded<FairShareTracker> fair_shares;
     Guarded<CrashHistory> crashes;
     Guarded<UnresolvedFailures> breaks;
-    Nudger unresolved_failure_added; ///< Wakes the thread that checks ports, if
-                                     ///< it runs.
+    /// Wakes the thread that checks ports, if it runs.
+    Nudger unresolved_failure_added;
     Guarded<FetchDelayTracker> fetches;
     Guarded<KeptReplica> kept;
     Guarded<DutyLease> coordinator_lease;
@@ -177,7 +178,7 @@
     void merge_peer_report(const std::vector<ConnectionFailure>& lost,
                            TimePoint now);
     /// Logs and counts the requests that were blocked since the last call.
-    void note_blocked();
+    void log_newly_blocked();
     /// Records that a runner's process exited; `evidence` is how this was
     /// found out, for the log. Broken calls there count against their requests,
     /// unless the runner announced that it would exit.
@@ -189,7 +190,7 @@
     void note_runner_replaced(const ListedRunner& runner);
     /// Counts the broken calls at runners that recently disappeared from the
     /// platform's list without having announced it.
-    void settle_gone_runners();
+    void note_gone_runners();
     /// Merges another instance's crash_updates(), which it sent at `as_of`.
     void merge_peer_report(const CrashUpdate& news, TimePoint as_of);
     /// Returns the calls under which runners exited, for other instances.
@@ -226,7 +227,7 @@
     bool has_duty();
     /// Returns whether this instance may answer at `now` where prompt parts are
     /// stored: it holds the duty, or held it less than kept_grace_time ago.
-    bool may_tell_kept(TimePoint now);
+    bool may_answer_kept(TimePoint now);
     /// Returns how long this instance may still act under the duty; 0 if it may
     /// not.
     Micros duty_time_left();
@@ -259,18 +260,18 @@
     /// The last result of tree_position(), with the values that it depends on.
     /// Working it out takes a sort of all instances by hashes, and it is asked
     /// for 30 times a second.
-    struct KnownPlace {
+    struct CachedPosition {
         std::optional<std::uint64_t> instances_version;
         std::string holder;
-        TreePosition place;
+        TreePosition position;
     };
 
     void count_ends(const std::vector<InterruptedCall>& calls,
                     const char* evidence);
-    void note_limit(std::string_view runner, double per_second,
-                    const char* source);
+    void log_limit_change(std::string_view runner, double per_second,
+                          const char* source);
 
-    Guarded<KnownPlace> m_place;
+    Guarded<CachedPosition> m_position;
 };
 
 } // namespace crosslink
--- a/src/serve/forward/forward_state_ends.cpp
+++ b/src/serve/forward/forward_state_crashes.cpp
@@ -20,7 +20,7 @@
     crashes.with([&](CrashHistory& history) {
         history.take(news, as_of, monotonic_now());
     });
-    note_blocked();
+    log_newly_blocked();
 }
 
 void
@@ -35,8 +35,8 @@
     });
     if (leaves)
         return;
-    count_ends(breaks.with([&](UnresolvedFailures& open) {
-        return open.ended(runner, monotonic_now());
+    count_ends(breaks.with([&](UnresolvedFailures& failures) {
+        return failures.ended(runner, monotonic_now());
     }),
                evidence);
 }
@@ -45,19 +45,20 @@
 ForwardState::note_runner_replaced(const ListedRunner& runner)
 {
     const RunnerIncarnation incarnation{runner.id, runner.start_ms};
-    count_ends(breaks.with([&](UnresolvedFailures& open) {
+    count_ends(breaks.with([&](UnresolvedFailures& failures) {
         if (runner.leaving)
-            open.leaves(incarnation);
-        return open.replaced_at(runner.address, incarnation, monotonic_now());
+            failures.leaves(incarnation);
+        return failures.replaced_at(runner.address, incarnation,
+                                    monotonic_now());
     }),
                "new process");
 }
 
 void
-ForwardState::settle_gone_runners()
+ForwardState::note_gone_runners()
 {
-    count_ends(breaks.with([](UnresolvedFailures& open) {
-        return open.take_gone(monotonic_now());
+    count_ends(breaks.with([](UnresolvedFailures& failures) {
+        return failures.take_gone(monotonic_now());
     }),
                "gone");
 }
@@ -77,7 +78,7 @@
             .field("again", call.again)
             .field("evidence", evidence)
             .span("after", monotonic_now() - call.ended_at);
-    note_blocked();
+    log_newly_blocked();
 }
 
 CrashUpdate
@@ -96,11 +97,11 @@
         else
             history.unrecorded(request);
     });
-    note_blocked();
+    log_newly_blocked();
 }
 
 void
-ForwardState::note_blocked()
+ForwardState::log_newly_blocked()
 {
     const auto blocked = crashes.with([](CrashHistory& history) {
         return history.take_newly_blocked(monotonic_now());
--- a/src/serve/forward/forward_state_words.cpp
+++ b/src/serve/forward/forward_state_runners.cpp
@@ -36,7 +36,7 @@
         return table.limit_answered(runner, per_second, known, monotonic_now());
     });
     if (changed)
-        note_limit(runner.id, per_second, "answer");
+        log_limit_change(runner.id, per_second, "answer");
 }
 
 void
@@ -47,7 +47,7 @@
             return table.limit_told(news, monotonic_now());
         });
         if (changed)
-            note_limit(news.runner, news.per_second, "instance");
+            log_limit_change(news.runner, news.per_second, "instance");
     }
 }
 
@@ -67,7 +67,7 @@
     });
     if (!is_new)
         return;
-    breaks.with([&](UnresolvedFailures& open) { open.leaves(runner); });
+    breaks.with([&](UnresolvedFailures& failures) { failures.leaves(runner); });
     ++counters.runners_leaving;
     LogLine("runner_leaving")
         .field("runner", runner.id)
@@ -104,8 +104,8 @@
 
 /// Logs and counts a change of a runner's limit.
 void
-ForwardState::note_limit(std::string_view runner, double per_second,
-                         const char* source)
+ForwardState::log_limit_change(std::string_view runner, double per_second,
+                               const char* source)
 {
     ++counters.limits_changed;
     counters.runners_limited =
--- a/src/serve/forward/http_caller_link.cpp
+++ b/src/serve/forward/http_caller_link.cpp
@@ -45,7 +45,7 @@
         m_answer.sendBuffer(body.data(), body.size());
     } catch (const Poco::Exception& failure) {
         LogLine("caller_gone").field("error", failure.displayText());
-        break_off();
+        abort();
     }
 }
 
@@ -80,7 +80,7 @@
 }
 
 void
-HttpCallerLink::break_off()
+HttpCallerLink::abort()
 {
     // POCO ends a chunked answer as complete when the answer is destroyed. The
     // caller does not get that end if the connection is shut down before.
--- a/src/serve/forward/http_caller_link.h
+++ b/src/serve/forward/http_caller_link.h
@@ -30,7 +30,7 @@
     void begin(int status, std::span<const HeaderField> headers) override;
     bool send(std::string_view piece) override;
     void finish() override;
-    void break_off() override;
+    void abort() override;
     bool begun() const override { return m_begun; }
     int socket() const override;
 
--- a/src/serve/forward/kept_asker.cpp
+++ b/src/serve/forward/kept_locator.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include "kept_asker.h"
+#include "kept_locator.h"
 
 #include <adapters/clock.h>
 #include <serve/log_line.h>
@@ -18,18 +18,18 @@
 
 /// Pause after a request that failed: calls must not wait for a holder of the
 /// duty that is gone.
-constexpr Micros after_failure = std::chrono::milliseconds(400);
+constexpr Micros failure_pause = std::chrono::milliseconds(400);
 
 } // namespace
 
-KeptAsker::KeptAsker(ForwardState& state, CoordinatorLink& coordinator)
+KeptLocator::KeptLocator(ForwardState& state, CoordinatorLink& coordinator)
     : m_state(state), m_coordinator(coordinator)
 {
 }
 
 KeptAnswer
-KeptAsker::ask(const KeptSpace& space, std::span<const PromptPart> parts,
-               Micros longest)
+KeptLocator::locate(const KeptSpace& space, std::span<const PromptPart> parts,
+                    Micros longest)
 {
     const TimePoint now = monotonic_now();
     const auto find = [&](bool best_effort) {
@@ -39,7 +39,7 @@
     };
     if (auto answer = find(false))
         return *answer;
-    if (now >= m_ask_again.load())
+    if (now >= m_next_request_at.load())
         if (auto answer = ask_coordinator(space, parts, longest, now))
             return *answer;
     if (auto answer = find(true))
@@ -51,7 +51,8 @@
 }
 
 std::optional<KeptAnswer>
-KeptAsker::look(const KeptSpace& space, std::span<const PromptPart> parts)
+KeptLocator::locate_locally(const KeptSpace& space,
+                            std::span<const PromptPart> parts)
 {
     const TimePoint now = monotonic_now();
     return m_state.kept.with([&](KeptReplica& replica) {
@@ -60,9 +61,9 @@
 }
 
 std::optional<KeptAnswer>
-KeptAsker::ask_coordinator(const KeptSpace& space,
-                           std::span<const PromptPart> parts, Micros longest,
-                           TimePoint asked)
+KeptLocator::ask_coordinator(const KeptSpace& space,
+                             std::span<const PromptPart> parts, Micros longest,
+                             TimePoint asked)
 {
     try {
         KeptAnswer answer = m_coordinator.with([&](auto& coordinator) {
@@ -72,15 +73,15 @@
         return answer;
     } catch (const std::exception& failure) {
         LogLine("kept_question_failed").field("error", failure.what());
-        m_ask_again = asked + after_failure;
+        m_next_request_at = asked + failure_pause;
         return std::nullopt;
     }
 }
 
 void
-KeptAsker::not_saved(const std::string& space,
-                     std::span<const PromptPart> parts,
-                     std::span<const KeptPlace> places)
+KeptLocator::cancel_saves(const std::string& space,
+                          std::span<const PromptPart> parts,
+                          std::span<const KeptPlace> places)
 {
     std::vector<PromptPart> unsaved;
     for (std::size_t i = 0; i < places.size(); ++i)
--- a/src/serve/forward/kept_asker.h
+++ b/src/serve/forward/kept_locator.h
@@ -19,23 +19,24 @@
 /// Looks up where the parts of a prompt are stored: in this instance's replica
 /// of the directory, or at the instance that holds the coordinator duty if the
 /// call may have to save some parts. Thread-safe.
-class KeptAsker
+class KeptLocator
 {
 public:
-    KeptAsker(ForwardState& state, CoordinatorLink& coordinator);
+    KeptLocator(ForwardState& state, CoordinatorLink& coordinator);
 
     /// Returns a place for each of `parts` of a prompt, for a call that ends
     /// within `longest`. If the holder of the duty can't be asked, the places
     /// come from the replica alone; parts that it does not know are None.
-    KeptAnswer ask(const KeptSpace& space, std::span<const PromptPart> parts,
-                   Micros longest);
+    KeptAnswer locate(const KeptSpace& space, std::span<const PromptPart> parts,
+                      Micros longest);
     /// Returns the places of `parts` according to the replica alone; nothing if
     /// the last of them is not known.
-    std::optional<KeptAnswer> look(const KeptSpace& space,
-                                   std::span<const PromptPart> parts);
+    std::optional<KeptAnswer> locate_locally(const KeptSpace& space,
+                                             std::span<const PromptPart> parts);
     /// Releases the saves among `places` of a call that certainly did not run.
-    void not_saved(const std::string& space, std::span<const PromptPart> parts,
-                   std::span<const KeptPlace> places);
+    void cancel_saves(const std::string& space,
+                      std::span<const PromptPart> parts,
+                      std::span<const KeptPlace> places);
 
 private:
     std::optional<KeptAnswer> ask_coordinator(const KeptSpace& space,
@@ -45,7 +46,7 @@
     ForwardState& m_state;
     CoordinatorLink& m_coordinator;
     /// No other instance is asked before this time.
-    std::atomic<TimePoint> m_ask_again{TimePoint{}};
+    std::atomic<TimePoint> m_next_request_at{TimePoint{}};
 };
 
 } // namespace crosslink
--- a/src/serve/forward/runner_choice.cpp
+++ b/src/serve/forward/runner_choice.cpp
@@ -35,13 +35,13 @@
 
 RunnerChoice::RunnerChoice(ForwardState& state, CallPrompt& prompt,
                            const ForwardedCall& call, const ServiceRoute& route,
-                           const AccountSettings* holder)
-    : m_state(state), m_prompt(prompt), m_call(call), m_holder(holder),
+                           const AccountSettings* account)
+    : m_state(state), m_prompt(prompt), m_call(call), m_account(account),
       m_service(route.pick_service(random_bits())),
       m_affinity(last_shared_part(call)),
       m_zones_allowed(state.settings.home_zones(
           route.allowed_regions,
-          holder ? holder->allowed_regions : std::vector<std::string>()))
+          account ? account->allowed_regions : std::vector<std::string>()))
 {
 }
 
@@ -55,7 +55,7 @@
 {
     release();
     const RunnerQuery query = make_query();
-    return take(m_state.runners.with([&query](RunnerTable& table) {
+    return adopt(m_state.runners.with([&query](RunnerTable& table) {
         auto chosen = table.choose(query);
         if (chosen)
             table.reserve(chosen->incarnation());
@@ -67,7 +67,7 @@
 /// Without a reservation each, all of them would wait for the runner's next
 /// slot, and all but one in vain.
 NextAvailability
-RunnerChoice::keep_place(TimePoint useful)
+RunnerChoice::reserve_next(TimePoint useful)
 {
     release();
     const RunnerQuery query = make_query();
@@ -78,7 +78,7 @@
         return next;
     });
     if (chance.at && *chance.at < useful)
-        m_kept_place = chance;
+        m_reservation = chance;
     return chance;
 }
 
@@ -91,25 +91,26 @@
 }
 
 bool
-RunnerChoice::choose_kept()
+RunnerChoice::choose_reserved()
 {
-    if (!m_kept_place)
+    if (!m_reservation)
         return choose();
     const RunnerQuery query = make_query();
     auto pick = m_state.runners.with([&](RunnerTable& table) {
-        auto chosen = table.choose_reserved(query, m_kept_place->incarnation());
+        auto chosen =
+            table.choose_reserved(query, m_reservation->incarnation());
         if (chosen)
             table.reserve(chosen->incarnation());
         return chosen;
     });
-    m_kept_place.reset();
-    return take(std::move(pick));
+    m_reservation.reset();
+    return adopt(std::move(pick));
 }
 
 /// Makes `pick` the chosen runner, at which a slot is already reserved. Returns
 /// false if it is empty.
 bool
-RunnerChoice::take(std::optional<RunnerPick> pick)
+RunnerChoice::adopt(std::optional<RunnerPick> pick)
 {
     if (!pick)
         return false;
@@ -126,8 +127,8 @@
         table.sent(m_pick.incarnation(), tokens, resident, now);
     });
     if (m_pick.limited)
-        m_state.turns.with([&](FairShareTracker& turns) {
-            turns.taken(m_service, account(), now);
+        m_state.fair_shares.with([&](FairShareTracker& fair_shares) {
+            fair_shares.taken(m_service, account_name(), now);
         });
 }
 
@@ -135,23 +136,23 @@
 void
 RunnerChoice::release()
 {
-    if (!m_reserved && !m_kept_place)
+    if (!m_reserved && !m_reservation)
         return;
     m_state.runners.with([this](RunnerTable& table) {
         if (m_reserved)
             table.release(m_pick.incarnation());
-        if (m_kept_place)
-            table.release(m_kept_place->incarnation());
+        if (m_reservation)
+            table.release(m_reservation->incarnation());
     });
     m_reserved = false;
-    m_kept_place.reset();
+    m_reservation.reset();
 }
 
 /// Returns the name of the call's account; empty on open routes.
 std::string_view
-RunnerChoice::account() const
+RunnerChoice::account_name() const
 {
-    return m_holder ? std::string_view(m_holder->name) : std::string_view();
+    return m_account ? std::string_view(m_account->name) : std::string_view();
 }
 
 /// Returns the current inputs of the choice. The query refers to the call and
@@ -171,8 +172,8 @@
     query.affinity = m_affinity;
     query.model = model;
     query.newest_version = m_newest;
-    query.avoid = &m_avoid;
-    query.spares_ending = m_spares_ending;
+    query.avoid = &m_excluded;
+    query.spares_ending = m_spares_exiting;
     query.instance = m_state.settings.name;
     query.instances = m_state.instance_count();
     if (m_zones_allowed)
@@ -194,10 +195,11 @@
     m_account_ahead = false;
     if (m_state.counters.runners_limited == 0)
         return;
-    query.account_ahead = m_state.turns.with([&](FairShareTracker& turns) {
-        turns.asked(m_service, account(), query.now);
-        return turns.is_ahead(m_service, account(), query.now);
-    });
+    query.account_ahead =
+        m_state.fair_shares.with([&](FairShareTracker& fair_shares) {
+            fair_shares.asked(m_service, account_name(), query.now);
+            return fair_shares.is_ahead(m_service, account_name(), query.now);
+        });
     m_account_ahead = query.account_ahead;
 }
 
@@ -224,7 +226,8 @@
         return;
     query.memory_tokens = engine->second.memory_tokens;
     const std::uint64_t version = std::max(m_newest, first_weights);
-    query.kept = m_prompt.near(space_of(version), *map, engine->second);
+    query.kept =
+        m_prompt.fetch_estimate(space_of(version), *map, engine->second);
     query.tokens -= std::min(query.tokens, query.kept.fetched_tokens);
 }
 
@@ -234,13 +237,13 @@
     KeptSpace space;
     space.model = m_call.generation->model;
     space.version = version;
-    if (m_holder && m_holder->isolated)
-        space.isolated_account = m_holder->name;
+    if (m_account && m_account->isolated)
+        space.isolated_account = m_account->name;
     return space;
 }
 
 std::optional<Micros>
-RunnerChoice::weights_left() const
+RunnerChoice::time_to_withdrawal() const
 {
     const auto replaced = m_state.replaced_for(m_call.generation->model,
                                                m_pick.version, monotonic_now());
@@ -252,7 +255,7 @@
 bool
 RunnerChoice::is_outdated() const
 {
-    const auto left = weights_left();
+    const auto left = time_to_withdrawal();
     return left && left->count() <= 0;
 }
 
--- a/src/serve/forward/runner_choice.h
+++ b/src/serve/forward/runner_choice.h
@@ -25,11 +25,11 @@
 class RunnerChoice
 {
 public:
-    /// All references must outlive this object. `holder` is the account of the
+    /// All references must outlive this object. `account` is the account of the
     /// call; null on open routes.
     RunnerChoice(ForwardState& state, CallPrompt& prompt,
                  const ForwardedCall& call, const ServiceRoute& route,
-                 const AccountSettings* holder);
+                 const AccountSettings* account);
     ~RunnerChoice();
     RunnerChoice(const RunnerChoice&) = delete;
     RunnerChoice& operator=(const RunnerChoice&) = delete;
@@ -39,20 +39,20 @@
     bool choose();
     /// Returns when a runner accepts calls again, and reserves a slot there for
     /// the call if that is before `useful`.
-    NextAvailability keep_place(TimePoint useful);
+    NextAvailability reserve_next(TimePoint useful);
     /// Returns when a runner accepts calls again, without a reservation.
     NextAvailability next_available();
-    /// As choose(), with the slot reserved by keep_place(), if there is one.
-    bool choose_kept();
+    /// As choose(), with the slot reserved by reserve_next(), if there is one.
+    bool choose_reserved();
     /// Records that the call is sent to the chosen runner at `now`; see
     /// RunnerTable::sent().
     void sent(std::uint64_t tokens, std::uint64_t resident, TimePoint now);
     /// See RunnerQuery::spares_ending.
-    void spare_ending(bool spares) { m_spares_ending = spares; }
+    void spare_exiting(bool spares) { m_spares_exiting = spares; }
     /// Excludes the last runner from further choices.
-    void pass_over_last() { m_avoid.insert(m_pick.id); }
+    void exclude_last() { m_excluded.insert(m_pick.id); }
     /// Allows all runners to be chosen again.
-    void pass_over_none() { m_avoid.clear(); }
+    void clear_excluded() { m_excluded.clear(); }
 
     /// Returns the runner that was chosen last.
     const RunnerPick& pick() const { return m_pick; }
@@ -71,7 +71,7 @@
     /// the weights of its runner are about to be forbidden. Zero or negative if
     /// it is due; nothing if no newer weights are named. Only for calls to a
     /// model.
-    std::optional<Micros> weights_left() const;
+    std::optional<Micros> time_to_withdrawal() const;
     /// Returns whether a call that has not begun is to be withdrawn now.
     bool is_outdated() const;
 
@@ -79,16 +79,16 @@
     RunnerQuery make_query();
     void add_prompt(RunnerQuery& query);
     void add_account(RunnerQuery& query);
-    bool take(std::optional<RunnerPick> pick);
+    bool adopt(std::optional<RunnerPick> pick);
     void add_warm_up(RunnerQuery& query, const ServiceMap& map) const;
     void release();
-    std::string_view account() const;
+    std::string_view account_name() const;
     KeptSpace space_of(std::uint64_t version) const;
 
     ForwardState& m_state;
     CallPrompt& m_prompt;
     const ForwardedCall& m_call;
-    const AccountSettings* m_holder;
+    const AccountSettings* m_account;
     const std::string m_service;
     const std::string m_affinity; ///< Id of the prompt's last shared part.
     /// Zones whose runners may get the call; nothing for all.
@@ -96,11 +96,11 @@
     RunnerPick m_pick;
     bool m_reserved = false; ///< The call is about to be sent to m_pick.
     /// The slot that is reserved for the call while it waits.
-    std::optional<NextAvailability> m_kept_place;
+    std::optional<NextAvailability> m_reservation;
     bool m_account_ahead = false; ///< As of the last choice.
-    bool m_spares_ending = true;
-    std::set<std::string> m_avoid; ///< Runners that are not chosen.
-    std::uint64_t m_newest = 0;    ///< Newest weights as of the last choice.
+    bool m_spares_exiting = true;
+    std::set<std::string> m_excluded; ///< Runners that are not chosen.
+    std::uint64_t m_newest = 0;       ///< Newest weights as of the last choice.
 };
 
 } // namespace crosslink
