--- a/src/serve/coordinator/block_duty.cpp
+++ b/src/serve/coordinator/block_duty.cpp
@@ -17,8 +17,8 @@
 namespace
 {
 
-/// Pause between two rounds. Running instances do not depend on the record;
-/// only instances that start do.
+/// Pause between two rounds. Running instances know of a block by then from
+/// each other; only instances that start depend on the record.
 constexpr Micros round_pause = std::chrono::milliseconds(500);
 
 } // namespace
--- a/src/serve/forward/forward_end.cpp
+++ b/src/serve/forward/forward_end.cpp
@@ -80,7 +80,7 @@
 
 /// Returns the time after which a caller should retry a call that was refused
 /// by the runners it was sent to, and that may be sent to no more runners. It
-/// is the shortest one if a runner accepts calls now.
+/// is min_retry_delay if a runner accepts calls now.
 Micros
 ForwardRun::retry_time_after_refusals()
 {
--- a/src/serve/forward/forward_state.h
+++ b/src/serve/forward/forward_state.h
@@ -192,8 +192,9 @@
     /// platform's list without having announced it.
     void note_gone_runners();
     /// Merges another instance's crash_updates(), which it sent at `as_of`.
-    void merge_peer_report(const CrashUpdate& news, TimePoint as_of);
-    /// Returns the calls under which runners exited, for other instances.
+    void merge_peer_report(const CrashUpdate& update, TimePoint as_of);
+    /// Returns what was learned recently about requests under which runners
+    /// exited, for other instances.
     CrashUpdate crash_updates(TimePoint now);
     /// Records the rate limit in an answer of a runner, and logs a change. The
     /// call was sent when `known` changes of the limit were known.
--- a/src/serve/forward/forward_state_crashes.cpp
+++ b/src/serve/forward/forward_state_crashes.cpp
@@ -13,12 +13,12 @@
 {
 
 void
-ForwardState::merge_peer_report(const CrashUpdate& news, TimePoint as_of)
+ForwardState::merge_peer_report(const CrashUpdate& update, TimePoint as_of)
 {
-    if (news.empty())
+    if (update.empty())
         return;
     crashes.with([&](CrashHistory& history) {
-        history.take(news, as_of, monotonic_now());
+        history.take(update, as_of, monotonic_now());
     });
     log_newly_blocked();
 }
--- a/src/serve/forward/forward_state_runners.cpp
+++ b/src/serve/forward/forward_state_runners.cpp
@@ -42,12 +42,12 @@
 void
 ForwardState::merge_peer_report(const std::vector<LimitUpdate>& limits)
 {
-    for (const LimitUpdate& news : limits) {
+    for (const LimitUpdate& update : limits) {
         const bool changed = runners.with([&](RunnerTable& table) {
-            return table.limit_told(news, monotonic_now());
+            return table.limit_told(update, monotonic_now());
         });
         if (changed)
-            log_limit_change(news.runner, news.per_second, "instance");
+            log_limit_change(update.runner, update.per_second, "instance");
     }
 }
 
@@ -77,8 +77,8 @@
 void
 ForwardState::merge_peer_report(const std::vector<LeavingUpdate>& leaving)
 {
-    for (const LeavingUpdate& news : leaving)
-        note_runner_leaving({news.runner, news.start_ms}, "instance");
+    for (const LeavingUpdate& update : leaving)
+        note_runner_leaving({update.runner, update.start_ms}, "instance");
 }
 
 std::vector<LeavingUpdate>
