--- a/src/serve/forward/forward_settings.cpp
+++ b/src/serve/forward/forward_settings.cpp
@@ -89,8 +89,7 @@
         ->default_val(10'000)
         ->check(CLI::Range(1000, 600'000));
     add(verb, "--warm-up-ratio", settings.warm_up_ratio,
-        "Calls to a warming-up runner, per call that it can process; 0: no "
-        "limit")
+        "Calls to a warming-up runner per call it can process; 0: no limit")
         ->default_val(0)
         ->check(CLI::Range(0.0, 100.0));
     add(verb, "--warm-up-allowance", settings.warm_up_allowance,
