--- a/src/include/crosslink/kept/block_key.h
+++ b/src/include/crosslink/kept/block_key.h
@@ -14,15 +14,16 @@
 namespace crosslink
 {
 
-/// Bytes of prompt text that make one block of kept KV.
+/// Size of the prompt text of one block of stored KV, in bytes.
 inline constexpr std::size_t block_text_bytes = 1024;
-/// Bytes of text that are counted as one token where an engine has not told.
+/// Bytes of text that count as one token where the engine has not reported the
+/// number of tokens.
 inline constexpr std::size_t bytes_per_token = 4;
 /// Tokens of one block.
 inline constexpr std::uint32_t block_tokens =
     block_text_bytes / bytes_per_token;
 
-/// Whose work a block is, and what made it.
+/// The account that a block belongs to, and what its KV was computed with.
 struct BlockOwner {
     std::string_view account;
     std::string_view model;
@@ -30,16 +31,16 @@
     std::string_view adapter; ///< Empty for none.
 };
 
-/// Returns the keys of the whole blocks of `prompt`, first block first. Each
-/// key is an HMAC over everything that made the block: the owner and the whole
-/// prefix up to its end. The HMAC's secret is derived from `fleet_secret` for
-/// the account alone, so that no account can work out or probe for the keys of
-/// another.
+/// Returns the keys of the complete blocks of `prompt`, first block first. Each
+/// key is an HMAC over everything that determines the KV of the block: the
+/// owner and the whole prompt up to the end of the block. The secret of the
+/// HMAC is derived from `fleet_secret` for the account alone, so that no
+/// account can compute or probe for the keys of another.
 std::vector<Digest> block_keys(std::string_view fleet_secret,
                                const BlockOwner& owner,
                                std::string_view prompt);
 
-/// Returns the tokens that `text` counts for.
+/// Returns the number of tokens that `text` counts as, rounded up.
 std::uint64_t token_estimate(std::string_view text);
 
 } // namespace crosslink
--- a/src/include/crosslink/kept/fetch_delay_tracker.h
+++ b/src/include/crosslink/kept/fetch_delay_tracker.h
@@ -20,8 +20,9 @@
 namespace crosslink
 {
 
-/// A store of kept parts, with the zone of the runners that fetch from it: a
-/// zone that is cut off makes it late for one zone alone.
+/// A store of KV parts and the zone of the runners that fetch from it. Delays
+/// are tracked for each zone, since a zone that is cut off makes a store slow
+/// for that zone alone.
 struct FetchPath {
     std::string store; ///< Address.
     std::string zone;
@@ -29,61 +30,65 @@
     auto operator<=>(const FetchPath&) const = default;
 };
 
-/// How late calls that fetched were, in the mean, as one or more instances saw
-/// it since they told it last.
+/// Mean delay of calls that fetched by one path, as observed by one or more
+/// instances since they last reported it.
 struct FetchSamples {
     FetchPath path;
     std::uint32_t calls = 0;
-    double late_ms = 0; ///< Below 0 where events came early.
+    double late_ms = 0; ///< Negative where events came early.
 };
 
-/// How late calls that fetch are, as the fleet sees it.
+/// Delay of calls that fetch by one path, over the whole fleet.
 struct FetchDelay {
     FetchPath path;
     double late_ms = 0;
-    Micros age{0}; ///< Since the newest sample.
+    Micros age{0}; ///< Of the newest sample.
 };
 
-/// Finds out which stores are slow at the moment, from how much later than
-/// expected the first events of calls come that fetch from them. What delays
-/// all calls, such as runners with too much to do, counts for no store.
+/// Detects the stores that are slow at the moment, from the delay of the first
+/// events of calls that fetch from them, relative to the expected time. A delay
+/// that affects all calls, such as that of overloaded runners, is attributed to
+/// no store.
 class FetchDelayTracker
 {
 public:
-    /// Takes note of a call that fetches its largest part by `way`, and whose
-    /// first event should come at `expected`.
+    /// Records a call that fetches its largest part by `path` and whose first
+    /// event is expected at `expected`.
     void sent(const FetchPath& path, TimePoint expected);
-    /// Takes note that the first event of such a call came at `now`.
+    /// Records that the first event of such a call came at `now`.
     void first_event(const FetchPath& path, TimePoint expected, TimePoint now);
-    /// Takes note that such a call ended without an event.
+    /// Records that such a call ended without an event.
     void ended(const FetchPath& path, TimePoint expected);
-    /// Takes in what other instances saw, as if this one had seen it.
+    /// Adds samples of other instances, as if they were observed here.
     void add_remote_samples(const FetchSamples& samples, TimePoint now);
-    /// Returns what was seen, here and by those others, since the last time.
+    /// Returns the samples, own ones and those of other instances, that were
+    /// added since the last call.
     std::vector<FetchSamples> take_unreported();
-    /// Returns how late calls are, for the best way of each zone and those that
-    /// are much later.
+    /// Returns the delays of the best path of each zone and of the paths that
+    /// are much slower.
     std::vector<FetchDelay> delays(TimePoint now) const;
-    /// Takes in how late calls are, as the fleet sees it at `now`. One instance
-    /// of 71 sees a store once in three seconds, and all together 12 times in
-    /// one.
+    /// Sets the delay of calls over the whole fleet, as of `now`. A single
+    /// instance has few samples: one instance of 71 observes a store once in
+    /// three seconds, and all together 12 times a second.
     void set_fleet_delay(const FetchDelay& fleet, TimePoint now);
 
-    /// Returns whether a call should fetch a part of `tokens` by `way`.
-    /// From a slow store only as many calls fetch as it may answer in time;
-    /// `random` bits choose them. Large parts are worth a longer wait, and
-    /// calls with a long `objective`, to their first event, can bear one.
+    /// Returns whether a call should fetch a part of `tokens` by `path`. A slow
+    /// store gets only as many fetches as it can be expected to answer in time;
+    /// `random` bits select the calls. A larger part justifies a longer delay,
+    /// and a call with a longer `objective`, the target time of its first
+    /// event, tolerates one.
     bool should_fetch(const FetchPath& path, std::uint32_t tokens,
                       Micros objective, std::uint64_t random,
                       TimePoint now) const;
 
-    /// Returns the stores from which large parts come late.
+    /// Returns the stores that are much slower than the best one of a zone.
     std::set<std::string, std::less<>> slow_stores(TimePoint now) const;
-    /// Lets those of `places`, one for each of `parts` of a prompt, be read
-    /// that lie in a slow store. A part is of use only with all parts before
-    /// it: the first one that is read takes the later ones with it, and is
-    /// worth waiting for as much as all of them.
-    /// The parts are fetched by a runner of `zone`.
+    /// Changes those of `places`, one for each of `parts` of a prompt, that are
+    /// fetches from a slow store, so that the parts are computed instead. A
+    /// part is of use only together with all parts before it: once one part is
+    /// computed, all later ones are, so that the decision on a part counts the
+    /// tokens of all parts from it on. The parts are fetched by a runner of
+    /// `zone`.
     void skip_slow_stores(std::span<const PromptPart> parts,
                           std::span<KeptPlace> places, std::string_view zone,
                           Micros objective, std::uint64_t random,
@@ -92,16 +97,17 @@
 private:
     struct Seen {
         bool known = false;
-        double late_ms = 0; ///< Smoothed; below 0 where events come early.
-        TimePoint at{};     ///< Of the newest sample.
+        double late_ms = 0; ///< Smoothed; negative where events come early.
+        TimePoint at{};     ///< Time of the newest sample.
         FetchSamples untold;
         double told_late_ms = 0;
         std::optional<TimePoint> told_at;
-        std::multiset<TimePoint> open; ///< Expected times of open calls.
+        /// Expected times of calls without an event.
+        std::multiset<TimePoint> open;
     };
 
-    /// Returns by how much, in milliseconds, events come later by `way` than
-    /// from the best other store to that zone; 0 where that is not known.
+    /// Returns by how many milliseconds events come later by `path` than from
+    /// the best other store to that zone; 0 where that is not known.
     double later_ms(const FetchPath& path, TimePoint now) const;
     std::vector<FetchDelay> known_lateness(TimePoint now) const;
     void add_samples(Seen& seen, std::uint32_t calls, double late_ms,
--- a/src/include/crosslink/kept/import_check.h
+++ b/src/include/crosslink/kept/import_check.h
@@ -13,15 +13,15 @@
 {
 
 /// Returns whether an import may be used: the engine read every block, each
-/// has the bytes that were sealed, and after the read the store still had each
-/// one sealed in the same slot, generation and incarnation. Anything less and
-/// the import is discarded and the prompt recomputed.
+/// block has the bytes that were sealed, and after the read the store still had
+/// each one sealed in the same slot, generation and incarnation. Otherwise the
+/// import is to be discarded and the prompt recomputed.
 bool import_is_sound(std::span<const SealedBlock> asked,
                      const ImportResult& read,
                      const std::vector<bool>& still_sealed);
 
-/// Checks that a store's answer to a lookup is a prefix of what was asked.
-/// Throws through check_invariant(Invariant::BlockIdentity) where it is not.
+/// Checks that the blocks that a store found are a prefix of those asked for.
+/// Throws through check_invariant(Invariant::BlockIdentity) where they are not.
 void check_lookup(std::span<const Digest> asked,
                   std::span<const SealedBlock> found);
 
--- a/src/include/crosslink/kept/kept_directory.h
+++ b/src/include/crosslink/kept/kept_directory.h
@@ -26,79 +26,88 @@
 namespace crosslink
 {
 
-/// Parts that a store is to free. The store refuses it after `until` or
-/// under another boot.
+/// Parts that a store is asked to free. The store refuses the request where it
+/// has restarted since `boot`, and after the time limit of the request (see
+/// KeptStores::free()).
 struct KeptFree {
     std::string store; ///< Address.
     std::uint64_t boot = 0;
     std::vector<KeptPart> parts;
 };
 
-/// Where each shared part of a prompt lies in the stores, which drop nothing
-/// by themselves. Kept by the one instance that has the duty.
+/// Directory of the parts of prompts whose KV is saved in the stores. The
+/// stores evict nothing by themselves: the directory decides which call saves a
+/// part where, and what is freed. The one instance that holds the duty (see
+/// DutyLease) maintains it.
 ///
-/// A part is never read while it is not whole:
-///  - each part is saved by one call at a time, which was told so here, and
-///    is not told again before that call must have ended;
-///  - it is told as kept only after the store listed it as whole;
-///  - what is told holds until a time of the runners' clock, which ends the
-///    fetch too; a part is freed, and a store that started anew is written
-///    to, only after all that was told before has run out;
-///  - each holder of the duty lets parts be saved under a space of its own,
-///    and goes on telling those that earlier holders let be saved;
-///  - a holder whose lease ended goes on telling for kept_grace_time, and knows
-///    nothing of later holders' parts; a new one frees what earlier holders let
-///    be saved only after that time.
+/// A part is never fetched while it is incomplete:
+///  - Each part is saved by one call at a time, to which this directory
+///    assigned the save. The save is not assigned again before that call must
+///    have ended.
+///  - A part is reported as stored only after its store reported it as
+///    complete.
+///  - An answer is valid until a time of the runners' clock, by which the fetch
+///    ends too. A part is freed, and a restarted store is written to, only
+///    after all earlier answers have expired.
+///  - Each holder of the duty has parts saved under a space of its own, and
+///    continues to report the parts that earlier holders had saved.
+///  - A holder whose lease ended continues to answer for kept_grace_time, and
+///    does not know the parts of later holders. A new holder frees what earlier
+///    holders had saved only after that time.
 class KeptDirectory
 {
 public:
-    /// Takes over the stores of the configuration.
+    /// Sets the stores of the configuration. The parts of other stores are
+    /// dropped.
     void set_stores(std::span<const KeptStoreInfo> stores);
-    /// Begins anew, for a holder of the duty with the token `term`.
+    /// Resets the directory for a holder of the duty with the token `term`. The
+    /// stores remain.
     void begin(std::uint64_t term, TimePoint now);
 
-    /// Takes note that no earlier holder tells anything from `now` on. Without
-    /// this they are taken to tell for kept_grace_time after begin().
+    /// Records that no earlier holder answers from `now` on. Without this they
+    /// are assumed to answer for kept_grace_time after begin().
     void earlier_holders_stopped(TimePoint now);
 
-    /// Takes in what a store lists.
+    /// Applies the full listing of a store.
     void apply_listing(std::string_view store, const KeptListing& listing,
                        TimePoint now);
-    /// Takes in changes. Returns false where it must be listed anew.
+    /// Applies changes of a store. Returns false where the store must be listed
+    /// again.
     bool apply_changes(std::string_view store, const KeptChanges& changes,
                        TimePoint now);
-    /// Takes over the stores that are slow now; they are written to only where
-    /// no other one has room.
+    /// Sets the stores that are slow now; they are written to only where no
+    /// other one has free capacity.
     void set_slow(std::set<std::string, std::less<>> stores)
     {
         m_room.set_slow(std::move(stores));
     }
-    /// Takes note that a store does not answer.
+    /// Records that a store does not answer.
     void unreachable(std::string_view store);
 
-    /// Returns what a call may do with `parts`, the shared parts of its
-    /// prompt in order, whose KV is of `space`; the term there is passed
-    /// over. A save must have ended or failed after `longest`.
+    /// Returns what a call may do with `parts`, the shared parts of its prompt
+    /// in order, for KV of `space`, whose term is ignored. A save must have
+    /// ended or failed after `longest`.
     KeptAnswer ask(const KeptSpace& space, std::span<const PromptPart> parts,
                    Micros longest, TimePoint now);
-    /// Returns what changed since `place` of the holder with `term`.
+    /// Returns the changes since the position `place` of the holder with
+    /// `term`; all parts where those changes are not known.
     KeptUpdate update_since(std::uint64_t term, std::uint64_t place,
                             TimePoint now) const;
-    /// Takes note that the call which was to save `part` never ran.
+    /// Records that the call which was to save `part` never ran.
     void not_saved(const KeptPart& part);
-    /// Lets go of the parts whose space `obsolete` says so of, of those asked
-    /// for least lately where a store is full, and of parts of replaced
-    /// weights, to have room in proportion to `updated_fraction`: the part of
-    /// the runners, 0 to 1, that have the newest weights. Returns what is to be
-    /// freed now.
+    /// Evicts the parts of the spaces for which `obsolete` returns true, the
+    /// least recently requested parts where a store is full, and parts of
+    /// replaced weights, to keep capacity free in proportion to
+    /// `updated_fraction`: the fraction of the runners, 0 to 1, that have the
+    /// newest weights. Returns the parts that are to be freed now.
     std::vector<KeptFree>
     take_due_frees(const std::function<bool(const KeptSpace&)>& obsolete,
                    double updated_fraction, TimePoint now);
-    /// Returns true where `store` has saves that should have ended: only a
-    /// new listing tells what became of them.
+    /// Returns whether `store` has saves or frees that should have ended: only
+    /// a new listing shows their result.
     bool wants_listing(std::string_view store, TimePoint now) const;
 
-    /// Returns the runners' clock at `now`; 0 where no store told it yet.
+    /// Returns the runners' clock at `now`; 0 where no store has reported it.
     RunnerMillis runner_clock(TimePoint now) const { return m_clock.at(now); }
 
 private:
@@ -106,14 +115,15 @@
     struct Entry {
         State state = State::Saving;
         std::string store;
-        std::uint32_t tokens = 0; ///< Room that it takes.
-        TimePoint asked{};        ///< When it was last asked for.
-        TimePoint placed{};       ///< When its call was told to save it.
-        TimePoint due{}; ///< Saving: must have ended. LetGo: may be freed,
-                         ///< where no earlier holder can tell of it.
+        std::uint32_t tokens = 0; ///< Capacity that it takes.
+        TimePoint asked{};        ///< When it was last requested.
+        TimePoint placed{};       ///< When a call was assigned its save.
+        /// Saving: when its call must have ended. Evicted: when it may be
+        /// freed, unless an earlier holder may still report it.
+        TimePoint due{};
         bool told_free = false; ///< The store was asked to free it.
     };
-    /// A part that may be let go for another one.
+    /// A part that may be evicted to free up capacity.
     struct Dispensable {
         std::string model;
         std::uint64_t version = 0;
@@ -163,10 +173,10 @@
     Parts m_parts;
     KeptLeftovers m_leftovers;
     std::uint64_t m_term = 0;
-    std::set<std::uint64_t> m_terms; ///< Of all parts that are told.
-    KeptHistory m_history;           ///< Changes of what is told.
+    std::set<std::uint64_t> m_terms; ///< Terms of all known parts.
+    KeptHistory m_history;           ///< Changes of the stored parts.
     TimePoint m_began{};
-    TimePoint m_silent_from{}; ///< No earlier holder tells anything after it.
+    TimePoint m_silent_from{}; ///< No earlier holder answers after it.
     RunnerClock m_clock;
 };
 
--- a/src/include/crosslink/kept/kept_history.h
+++ b/src/include/crosslink/kept/kept_history.h
@@ -13,17 +13,18 @@
 namespace crosslink
 {
 
-/// The latest changes of what the directory tells as kept, numbered from 1 on,
-/// so that the copies in the instances can follow.
+/// The latest changes of the parts that the directory reports as stored,
+/// numbered from 1 on. The replicas in the instances are updated from them.
 class KeptHistory
 {
 public:
-    /// Adds a change. The oldest is forgotten where there are too many.
+    /// Adds a change. The oldest one is dropped where there are too many.
     void add(KeptEntry change);
     /// Returns the number of the newest change; 0 before the first.
     std::uint64_t place() const { return m_place; }
-    /// Returns the changes after `place`, oldest first; nothing where some of
-    /// them are forgotten, or `place` was never reached.
+    /// Returns the changes after the number `place`, oldest first; nothing
+    /// where some of them were dropped, or where `place` is above that of the
+    /// newest change.
     std::optional<std::vector<KeptEntry>> since(std::uint64_t place) const;
 
 private:
--- a/src/include/crosslink/kept/kept_leftovers.h
+++ b/src/include/crosslink/kept/kept_leftovers.h
@@ -14,37 +14,39 @@
 namespace crosslink
 {
 
-/// Room in a store for a part that is told elsewhere now. The store may have
-/// it, whole or not.
+/// A part in a store that the directory no longer reports for the part. The
+/// store may have it, complete or incomplete, or not at all.
 struct KeptLeftover {
     std::string store; ///< Address.
     KeptKey key;
-    std::uint32_t tokens = 0; ///< Room that it takes.
-    TimePoint due{};          ///< No call writes or was told to fetch it after.
-    bool told_free = false;   ///< It is freed until `due`.
+    std::uint32_t tokens = 0; ///< Capacity that it takes.
+    TimePoint due{}; ///< No call writes or fetches it there after this time.
+    /// The store was asked to free it, and has done so by `due`.
+    bool told_free = false;
 };
 
-/// What is left of parts in stores where they are not told any more. The
-/// directory of kept parts saves no part anew to a store that has it left,
-/// and has the store free it once nothing that was told of it holds.
+/// The parts in stores that the directory of kept parts no longer reports for
+/// them. The directory has no part saved to a store where it is stale, and has
+/// the store free a stale part once all answers that named it have expired.
 class KeptLeftovers
 {
 public:
-    /// Takes note that `store` may have a part until it is freed, which may
-    /// be from `due` on. A part that is left there already stays as it is.
+    /// Records that `store` may have a part until the part is freed, which may
+    /// be from `due` on. A part that is recorded already stays unchanged.
     void add(const std::string& store, const KeptKey& key, std::uint32_t tokens,
              TimePoint due);
-    /// Returns whether a part is left in any store.
+    /// Returns whether a part is stale in any store.
     bool contains(const KeptKey& key) const;
-    /// Returns whether a part is left in `store`.
+    /// Returns whether a part is stale in `store`.
     bool contains(const std::string& store, const KeptKey& key) const;
 
-    /// Drops what is left in the stores that `gone` says so of.
+    /// Removes the parts in the stores for which `gone` returns true.
     void forget_stores(const std::function<bool(const std::string&)>& gone);
     void clear() { m_leftovers.clear(); }
 
-    /// Returns those that are to be freed now: `may_free` says so of them,
-    /// and their store was not asked yet. Drops those that have been freed.
+    /// Returns the parts that are to be freed now: `may_free` returns true for
+    /// them, and their store was not asked yet. Removes those that have been
+    /// freed.
     std::vector<KeptLeftover>
     take_due(const std::function<bool(const KeptLeftover&)>& may_free,
              TimePoint now);
--- a/src/include/crosslink/kept/kept_part.h
+++ b/src/include/crosslink/kept/kept_part.h
@@ -16,88 +16,91 @@
 namespace crosslink
 {
 
-/// How long what the directory of kept parts says holds. Longer than the duty
-/// passes from one holder to the next; shorter than new weights take.
+/// Time for which an answer of the directory of kept parts is valid. It is
+/// longer than the duty takes to pass from one holder to the next, and shorter
+/// than new weights take to load.
 inline constexpr std::chrono::milliseconds kept_answer_time{3000};
-/// How long a holder of the duty goes on telling after its lease ended: the
-/// platform is away for 4 to 6 s now and then, and all prompts would be read
-/// anew meanwhile. A new holder frees nothing of earlier terms for that long.
+/// Time for which a holder of the duty continues to answer after its lease
+/// ended. The platform is unreachable for 4 to 6 s now and then, and all
+/// prompts would otherwise be computed in full meanwhile. A new holder frees no
+/// parts of earlier terms for that long.
 inline constexpr std::chrono::milliseconds kept_grace_time{8000};
 
-/// What separates kept KV that must not mix: parts are found only under the
-/// same space.
+/// Namespace of stored KV. Parts are found only under the space that they were
+/// saved under, so that KV that must not mix is kept apart.
 struct KeptSpace {
-    std::string isolated_account; ///< Empty for all accounts that share; else
-                                  ///< the account.
+    /// Account that shares no KV with others; empty for all accounts that
+    /// share.
+    std::string isolated_account;
     std::string model;
     std::uint64_t version = 0; ///< Of the weights that made the KV.
-    /// Token of the duty under which its parts are saved. No two holders of
-    /// the duty let calls save under the same space, so that what one of them
-    /// lets be written can't overlap with what another one does.
+    /// Token of the holder of the duty that had the parts saved. No two holders
+    /// have calls save under the same space, so that the writes for one holder
+    /// can't overlap with those for another.
     std::uint64_t term = 0;
 
-    /// True where `other` differs in the term at most.
+    /// Returns whether `other` differs in the term at most.
     bool same_but_term(const KeptSpace& other) const
     {
         return isolated_account == other.isolated_account &&
                model == other.model && version == other.version;
     }
-    /// Returns the text that runners and stores keep parts under.
+    /// Returns the text by which runners and stores identify the space.
     std::string text() const;
-    /// Reads text() back; nothing where it is not from here.
+    /// Parses the result of text(); returns nothing for any other text.
     static std::optional<KeptSpace> parse(std::string_view text);
 
     bool operator==(const KeptSpace&) const = default;
 };
 
-/// A part of a prompt as a store names it.
+/// A part of a prompt as a store identifies it.
 struct KeptPart {
     std::string space; ///< KeptSpace::text().
     std::string id;
     std::uint32_t tokens = 0;
 };
 
-/// What a part is known by: its space, as KeptSpace::text(), and its id.
+/// Identifies a part: its space, as KeptSpace::text(), and its id.
 using KeptKey = std::pair<std::string, std::string>;
 
-/// A change that a store tells of itself. Changes come late, and some never.
+/// A change that a store reports. Changes may arrive late or not at all.
 struct KeptChange {
-    KeptPart part; ///< With the tokens that are kept now.
+    KeptPart part; ///< With the tokens that are stored now.
     bool stored = false;
 };
 
-/// What a store tells that it holds.
+/// The full contents of a store, as it lists them.
 struct KeptListing {
-    std::uint64_t boot = 0; ///< Changes when it starts anew, empty.
-    std::uint64_t next = 0; ///< Where its changes go on.
+    std::uint64_t boot = 0; ///< Changes when the store restarts, empty.
+    std::uint64_t next = 0; ///< Position from which its changes continue.
     RunnerMillis clock = 0;
     std::vector<KeptPart> whole;
-    std::vector<KeptPart> broken; ///< Writing broke off; they take room.
+    std::vector<KeptPart> broken; ///< Interrupted saves; they take capacity.
 };
 
-/// The changes of a store after a place.
+/// The changes of a store after a position.
 struct KeptChanges {
     std::uint64_t boot = 0;
     std::uint64_t next = 0;
     RunnerMillis clock = 0;
-    bool lost = false; ///< Some are missing: list it anew.
+    bool lost = false; ///< Some are missing: list the store again.
     std::vector<KeptChange> changes;
 };
 
 /// What a call may do with one part of its prompt.
 struct KeptPlace {
     enum class Kind {
-        None,  ///< Read it; it is neither kept nor to be saved now.
-        Fetch, ///< It lies whole at `store` until `until`.
-        Save,  ///< This call, and no other, saves it to `store`.
+        None,  ///< Compute it, without a save.
+        Fetch, ///< Fetch it: `store` has it complete until `until`.
+        Save,  ///< Compute it and save it to `store`; no other call does.
     };
-    /// Why a part is read, where it is.
+    /// Why a part is computed without a save.
     enum class Reason {
-        Unknown,          ///< Nobody told where it lies.
+        Unknown,          ///< No store is known to have it.
         BeingSaved,       ///< Another call saves it.
         BeingFreed,       ///< It is about to be freed.
         StoreUnreachable, ///< The store that has it does not answer.
-        NoRoom,           ///< No store has room for it.
+        NoRoom,           ///< No store has capacity for it.
         OtherTerm, ///< Its space belongs to an earlier holder of the duty.
         SlowStore, ///< The store that has it is slower than others.
     };
@@ -106,7 +109,7 @@
     RunnerMillis until = 0;
     Reason reason = Reason::Unknown; ///< For None.
 
-    /// Returns a part that is to be read.
+    /// Returns the place of a part that is to be computed.
     static KeptPlace read(Reason reason)
     {
         KeptPlace place;
--- a/src/include/crosslink/kept/kept_replica.h
+++ b/src/include/crosslink/kept/kept_replica.h
@@ -21,58 +21,59 @@
 namespace crosslink
 {
 
-/// Where the shared parts of a prompt lie.
+/// What a call may do with the shared parts of its prompt.
 struct KeptAnswer {
-    std::string space;             ///< Under which the call runs.
+    std::string space;             ///< Space under which the call runs.
     std::vector<KeptPlace> places; ///< One for each part asked for.
     RunnerMillis clock = 0;        ///< The runners' clock at the answer.
 };
 
-/// A part that is kept at a store, or that is told no more.
+/// A stored part, or the removal of one.
 struct KeptEntry {
     std::string space;
     std::string id;
-    std::string store; ///< Address; empty where it is told no more.
+    std::string store; ///< Address; empty for a removal.
 };
 
-/// What changed in the directory since a place in its history.
+/// The changes of the directory since a position in its history.
 struct KeptUpdate {
-    bool ready = false; ///< False: the holder of the duty has listed nothing.
-    std::uint64_t term = 0;   ///< Of the holder.
-    std::uint64_t place = 0;  ///< Where the next update goes on.
-    bool is_snapshot = false; ///< Entries that are not named are told no more.
-    RunnerMillis clock = 0;   ///< The runners' clock as the holder told it.
-    Micros age{0};            ///< Time since then, where others handed it on.
+    bool ready = false;      ///< False until the holder has listed a store.
+    std::uint64_t term = 0;  ///< Token of the holder of the duty.
+    std::uint64_t place = 0; ///< Position from which the next update continues.
+    bool is_snapshot = false; ///< Has all entries; others are removed.
+    RunnerMillis clock = 0;   ///< The runners' clock as the holder reported it.
+    Micros age{0};            ///< Of `clock`, where other instances relayed it.
     std::vector<KeptEntry> entries;
 };
 
-/// A copy of the directory's kept parts in each instance. What it says holds
-/// until kept_answer_time after the update, on the runners' clock, as what the
-/// directory itself says.
+/// A copy of the directory's stored parts, in each instance. Its answers are
+/// valid until kept_answer_time after the update, on the runners' clock, as
+/// those of the directory itself.
 class KeptReplica
 {
 public:
-    /// Takes in an update that was asked for at `asked`. One of an earlier
-    /// holder than the last one is passed over.
+    /// Applies an update that was requested at `asked`. An update of an earlier
+    /// holder than the last one is ignored.
     void take(const KeptUpdate& update, TimePoint asked);
-    /// Returns at `now` what changed since `place` of the holder with `term`,
-    /// for an instance that learns it from this one.
+    /// Returns the changes since the position `place` of the holder with
+    /// `term`, as of `now`, for an instance that gets its updates from this
+    /// one.
     KeptUpdate update_since(std::uint64_t term, std::uint64_t place,
                             TimePoint now) const;
-    /// Returns where the next update goes on: term and place.
+    /// Returns the term and the place from which the next update continues.
     std::pair<std::uint64_t, std::uint64_t> position() const
     {
         return {m_term, m_place};
     }
-    /// Returns where `parts` of a prompt lie, when all of them are known;
-    /// nothing where the holder of the duty is to be asked. With
-    /// `best_effort`, parts that are not known are to be read.
+    /// Returns the places of `parts` of a prompt where all of them are known;
+    /// nothing where the holder of the duty is to be asked. With `best_effort`,
+    /// parts that are not known are to be computed.
     std::optional<KeptAnswer> find(const KeptSpace& space,
                                    std::span<const PromptPart> parts,
                                    bool best_effort, TimePoint now) const;
 
 private:
-    /// A change with the place of the update that brought it.
+    /// A change with the position of the update that contained it.
     struct Change {
         std::uint64_t place = 0;
         KeptEntry entry;
@@ -84,7 +85,8 @@
 
     std::uint64_t m_term = 0;
     std::uint64_t m_place = 0;
-    std::uint64_t m_first = 0;    ///< Changes after this place are remembered.
+    /// Changes after this position are retained.
+    std::uint64_t m_first = 0;
     std::deque<Change> m_changes; ///< Oldest first.
     RunnerClock m_clock;
     std::map<KeptKey, std::string> m_places; ///< Store addresses.
--- a/src/include/crosslink/kept/kept_room.h
+++ b/src/include/crosslink/kept/kept_room.h
@@ -19,70 +19,70 @@
 namespace crosslink
 {
 
-/// The room in the stores of kept parts: which stores there are and answer,
-/// how much is taken in each, and to which of them a part is saved. Stores are
-/// named by their addresses; what is said of one that is not known is passed
-/// over.
+/// The capacity of the stores of KV parts: which stores exist and answer, how
+/// much of each is used, and to which of them a part is saved. Stores are
+/// identified by their addresses; updates of an unknown store are ignored.
 class KeptRoom
 {
 public:
-    /// Returns the room, in tokens, that a part of `tokens` takes.
+    /// Returns the capacity, in tokens, that a part of `tokens` takes.
     static std::uint32_t room_of(std::uint32_t tokens);
 
-    /// Takes over the managed stores of the configuration. What is known of
-    /// those that stay is kept.
+    /// Sets the managed stores of the configuration. The state of those that
+    /// remain is kept.
     void set_stores(std::span<const KeptStoreInfo> stores);
-    /// Takes over the stores that are slow now; they are written to only where
-    /// no other one has room.
+    /// Sets the stores that are slow now; they are written to only where no
+    /// other one has free capacity.
     void set_slow(std::set<std::string, std::less<>> stores)
     {
         m_slow = std::move(stores);
     }
-    /// Forgets what is known of the stores.
+    /// Resets the state of all stores.
     void clear();
 
     bool contains(std::string_view store) const;
-    /// Returns the boot that a store told of itself; 0 where it told none.
+    /// Returns the boot that a store reported; 0 where it reported none.
     std::uint64_t boot(std::string_view store) const;
     /// Returns whether a store answers.
     bool is_reachable(std::string_view store) const;
-    /// Returns when a store listed its parts last; nothing for an unknown one.
+    /// Returns when a store last listed its parts; nothing for an unknown
+    /// store.
     std::optional<TimePoint> listed_at(std::string_view store) const;
-    /// Returns whether every store told its boot.
+    /// Returns whether every store has reported its boot.
     bool all_told() const;
 
-    /// Takes note of a store's boot. Returns true where it is a new one: the
-    /// store has forgotten all, and is written to only from `write_from` on.
+    /// Sets a store's boot. Returns true where the store has restarted: it is
+    /// empty, and is written to only from `writable_from` on.
     bool take_boot(std::string_view store, std::uint64_t boot,
                    TimePoint write_from);
-    /// Takes note that a store listed its parts.
+    /// Records that a store listed its parts at `now`.
     void listed(std::string_view store, TimePoint now);
     void set_reachable(std::string_view store, bool reachable);
 
-    /// Takes note that `tokens` of room are taken in a store.
+    /// Records that `tokens` of capacity are used in a store.
     void take(std::string_view store, std::uint32_t tokens);
-    /// Takes note that `tokens` of room are free again in a store.
+    /// Records that `tokens` of capacity are free again in a store.
     void give_back(std::string_view store, std::uint32_t tokens);
 
-    /// Returns the store that a part of `tokens` should be saved to, of those
-    /// that `may_have` does not say of that they may have it already; empty
-    /// where none has room. A forerunner, a part that others of the prompt
-    /// follow, goes to the fastest link: it is fetched for many prompts. Other
-    /// parts fill the stores in proportion to their links, so that reads
-    /// spread alike.
+    /// Returns the store that a part of `tokens` should be saved to, excluding
+    /// those that may have it already according to `may_have`; empty where none
+    /// has enough free capacity. A leading part, which other parts of the
+    /// prompt follow, goes to the store with the fastest link, since it is
+    /// fetched for many prompts. Other parts fill the stores in proportion to
+    /// their links, so that fetches are spread evenly.
     std::string
     place_for(std::uint32_t tokens, bool forerunner,
               const std::function<bool(const std::string&)>& may_have,
               TimePoint now);
-    /// Returns whether a part found no room since room was made last.
+    /// Returns whether a part found no capacity since some was last freed up.
     bool is_full() const { return m_full; }
-    /// Takes note that room is made.
+    /// Records that capacity is being freed up.
     void made() { m_full = false; }
-    /// Returns whether less room is free than is to be kept free, where the
-    /// part `updated_fraction` of the runners, 0 to 1, has the newest weights.
-    /// `let_go` tokens of what is taken are about to be freed.
+    /// Returns whether less capacity is free than is to be kept free, where the
+    /// fraction `updated_fraction` of the runners, 0 to 1, has the newest
+    /// weights. `evicted` tokens of the used capacity are about to be freed.
     bool is_low(double updated_fraction, std::uint64_t let_go) const;
-    /// Returns the tokens that are let go at once to make room.
+    /// Returns the tokens that are evicted at once to free up capacity.
     double tokens_to_let_go() const;
 
 private:
@@ -91,7 +91,8 @@
         bool reachable = false;
         std::uint64_t boot = 0;
         std::uint64_t used_tokens = 0;
-        TimePoint write_from{}; ///< Answers on its earlier boot have run out.
+        /// Answers from before its restart have expired.
+        TimePoint write_from{};
         TimePoint listed_at{};
     };
 
@@ -104,7 +105,7 @@
     double free_part(std::uint64_t let_go) const;
 
     std::map<std::string, Store, std::less<>> m_stores; ///< By address.
-    std::set<std::string, std::less<>> m_slow;          ///< Stores.
+    std::set<std::string, std::less<>> m_slow;          ///< Addresses.
     bool m_full = false;
 };
 
--- a/src/include/crosslink/kept/runner_clock.h
+++ b/src/include/crosslink/kept/runner_clock.h
@@ -10,27 +10,29 @@
 namespace crosslink
 {
 
-/// The time of the clock that runners and stores of kept KV share, in
-/// milliseconds. Never compared with any other clock.
+/// Time of the clock that runners and stores of KV share, in milliseconds. It
+/// is never compared with any other clock.
 using RunnerMillis = std::uint64_t;
 
-/// The runners' clock as it was told last, carried on by the own steady clock.
+/// Estimate of the runners' clock: the last reported time, advanced by the
+/// steady clock of this process.
 class RunnerClock
 {
 public:
-    /// Takes over `clock`, told at `now`; 0 where it is not known.
+    /// Sets the clock to `clock`, as reported at `now`; 0 where it is not
+    /// known.
     void set(RunnerMillis clock, TimePoint now);
-    /// As set(), where `clock` is later than what was told before.
+    /// Calls set() where `clock` is later than the last reported time.
     void advance(RunnerMillis clock, TimePoint now);
 
-    /// True once it was told.
+    /// Returns whether a time was reported.
     bool is_known() const { return m_told != 0; }
-    /// Returns what was told last; 0 before.
+    /// Returns the last reported time; 0 where there is none.
     RunnerMillis told() const { return m_told; }
-    /// Returns when it was told.
+    /// Returns when that time was reported.
     TimePoint told_at() const { return m_told_at; }
-    /// Returns the clock at `now`, which is not before it was told; 0 where it
-    /// is not known.
+    /// Returns the clock at `now`, which is not before the last report; 0 where
+    /// it is not known.
     RunnerMillis at(TimePoint now) const;
 
 private:
--- a/src/include/crosslink/weights/rollout_record.h
+++ b/src/include/crosslink/weights/rollout_record.h
@@ -14,27 +14,27 @@
 namespace crosslink
 {
 
-/// Versions that a record keeps, the newest ones. Calls may still run on those
-/// that were replaced within the bound: five, where new ones are named every 2
-/// s and must have given way after 10 s.
+/// Number of versions in a record, the newest ones. Calls may still run on
+/// versions that were replaced within the bound: five, where a new version is
+/// named every 2 s and the earlier one must be replaced within 10 s.
 constexpr std::size_t recorded_versions = 8;
 
-/// What the platform keeps of the versions of one model that were named: the
-/// versions, and which of them are marked. A mark goes by itself when calls may
-/// not be sent to the replaced weights any more, also where no instance lives
-/// to see that.
+/// The record on the platform of the versions of one model that were named as
+/// the newest: the versions, and which of them have a mark. A mark expires by
+/// itself when calls may no longer be sent to the weights that the version
+/// replaced, even where no instance is running then.
 class RolloutRecord
 {
 public:
-    /// Takes over the versions that are recorded now.
+    /// Sets the versions that are recorded now.
     void recorded(std::span<const std::uint64_t> versions);
-    /// Takes note that the mark of a version was set, or went.
+    /// Records that the mark of a version was set or has expired.
     void marked(std::uint64_t version, bool is_set);
 
-    /// Lets `history` count a version without a mark as named no later than
-    /// `limit` before `now`.
+    /// Adds the recorded versions to `history`. A version without a mark counts
+    /// as named no later than `limit` before `now`.
     void apply_to(WeightsHistory& history, Micros limit, TimePoint now) const;
-    /// Returns the versions of `history` that are to be recorded.
+    /// Returns the versions of `history` that are still to be recorded.
     std::vector<std::uint64_t> missing(const WeightsHistory& history) const;
 
 private:
@@ -42,8 +42,8 @@
     std::set<std::uint64_t> m_marked;
 };
 
-/// Returns the `versions` to be recorded, in rising order, where `added` is
-/// too. The oldest ones give way.
+/// Returns the versions to be recorded, in ascending order: `versions` and
+/// `added`, without the oldest ones where there are too many.
 std::vector<std::uint64_t> with_version(std::span<const std::uint64_t> versions,
                                         std::uint64_t added);
 
--- a/src/include/crosslink/weights/weights_plan.h
+++ b/src/include/crosslink/weights/weights_plan.h
@@ -19,75 +19,77 @@
 namespace crosslink
 {
 
-/// What became of an order to a runner.
+/// Result of an order to a runner.
 enum class OrderOutcome {
     Accepted,      ///< It is being carried out.
     AlreadyLoaded, ///< The runner has the weights already.
-    Busy,          ///< Another order is under way, or the state was another.
-    Refused,       ///< It will not be carried out.
-    Unknown,       ///< No answer: it may be carried out, also later.
+    Busy,    ///< Another order is in progress, or the state did not match.
+    Refused, ///< It will not be carried out.
+    Unknown, ///< No answer: it may be carried out, now or later.
 };
 
 /// An order to load new weights.
 struct WeightsOrder {
     std::string runner;
-    std::uint64_t start_ms = 0; ///< Its incarnation.
+    std::uint64_t start_ms = 0; ///< Start of its process, in Unix milliseconds.
     std::string address;
     std::string model;
     std::uint64_t version = 0;
 };
 
-/// Brings all runners to the newest weights that were named, a part of them
-/// at a time, so that the others serve meanwhile. Kept by the instance that
-/// has the duty; a new holder begins with an empty plan and learns from the
-/// runners' own versions.
+/// Plans how all runners get the newest weights that were named: a fraction of
+/// them loads at a time, so that the others continue to serve. The instance
+/// that holds the duty maintains the plan; a new holder begins with an empty
+/// one and learns from the versions that the runners report.
 class WeightsPlan
 {
 public:
-    /// All runners are to have weights `bound` after they were named.
+    /// All runners are to have new weights `bound` after they were named.
     explicit WeightsPlan(Micros bound) : m_bound(bound) {}
 
-    /// Takes over the versions of `model` that were named.
+    /// Sets the versions of `model` that were named.
     void follow(std::string_view model, const WeightsHistory& history);
 
-    /// Returns the orders that are due at `now`. They count as given.
+    /// Returns the orders that are due at `now`. They count as sent.
     std::vector<WeightsOrder> due(const RunnerTable& runners, TimePoint now);
-    /// Takes note that an order of due() was not given after all. It is due
-    /// again a little later.
+    /// Records that an order of due() was not sent. It is due again a little
+    /// later.
     void not_sent(const WeightsOrder& order, TimePoint now);
-    /// Takes note of an order's outcome.
+    /// Records the outcome of an order.
     void ordered(const WeightsOrder& order, OrderOutcome outcome,
                  TimePoint now);
-    /// Returns the orders whose runners are to be asked for their state.
+    /// Returns the open orders, whose runners are to be asked for their state.
     std::vector<WeightsOrder> open() const;
-    /// Returns the orders that were carried out a moment ago, for the instances
-    /// that send calls there.
+    /// Returns the orders that were carried out recently, for the instances
+    /// that send calls to the runners.
     std::vector<WeightsOrder> loaded(TimePoint now);
-    /// Takes in the word of the runner of `order` on the weights that it has of
-    /// that order's model.
+    /// Records the version of the weights that the runner of `order` reports
+    /// for the model of that order.
     void reported(const WeightsOrder& order, std::uint64_t version, bool busy,
                   TimePoint now);
-    /// Takes note that a runner gave no answer on its state. It may carry out
-    /// its order all the same, but others need not wait for it.
+    /// Records that a runner did not answer a request for its state. It may
+    /// still carry out its order, but other runners need not wait for it.
     void report_failed(const WeightsOrder& order);
-    /// Returns the part, 0 to 1, of the listed runners that have the newest
+    /// Returns the fraction, 0 to 1, of the listed runners that have the newest
     /// weights of each model.
     double updated_fraction(const RunnerTable& runners) const;
 
 private:
     struct Open {
         WeightsOrder order;
-        TimePoint given; ///< Or accepted.
-        TimePoint heard; ///< The runner's last word, or when it was given.
+        TimePoint given; ///< When it was sent, or accepted.
+        TimePoint
+            heard; ///< When the runner last answered, or when it was sent.
         bool accepted = false;
-        bool unanswered = false; ///< The runner was asked in vain since then.
+        bool unanswered = false; ///< A request since then got no answer.
 
         void heard_at(TimePoint now)
         {
             heard = now;
             unanswered = false;
         }
-        /// An order may wait for its turn before it reaches the runner.
+        /// The time of an order counts from its acceptance, since it may be
+        /// queued before it reaches the runner.
         void accept(TimePoint now)
         {
             if (!accepted)
@@ -110,11 +112,11 @@
         auto operator<=>(const RunnerModel&) const = default;
     };
 
-    /// When a runner may be ordered again, after orders that came to nothing.
+    /// When a runner may get another order, after orders that failed.
     struct Again {
-        std::uint64_t version = 0; ///< That was ordered.
+        std::uint64_t version = 0; ///< Version that was ordered.
         TimePoint at{};
-        std::uint32_t failures = 0; ///< In a row.
+        std::uint32_t failures = 0; ///< Consecutive ones.
     };
 
     OpenOrders::iterator find_open(const WeightsOrder& order);
--- a/src/libcrosslink/kept/fetch_delay_tracker.cpp
+++ b/src/libcrosslink/kept/fetch_delay_tracker.cpp
@@ -13,33 +13,36 @@
 namespace
 {
 
-/// Part of a new sample in the smoothed one.
+/// Weight of a new sample in the moving average.
 constexpr double sample_weight = 0.25;
-/// A fetch may be late by this part of the call's objective, for a part of
-/// whatever size: the answer still comes in time, and a prompt that is read
-/// instead delays all others at its runner. With 80 ms for all calls,
-/// objectives of 1.2 s were served by reading 4 M tokens a day that lay kept;
-/// with a third of the objective a quarter less (docs/DECISIONS.md, "slow
-/// stores").
+/// Fraction of the call's objective by which a fetch may be late, whatever the
+/// size of its part. The response still comes in time, while a prompt that is
+/// computed instead delays all others at its runner. With 80 ms for all calls,
+/// calls with objectives of 1.2 s recomputed 4 M stored tokens a day; with a
+/// third of the objective, a quarter less (docs/DECISIONS.md, "slow stores").
 constexpr double bearable_part = 1.0 / 3;
-/// Beyond it, a fetch may be this much later for each token of its part: about
-/// twice the time in which a runner reads the token.
+/// Additional milliseconds by which a fetch may be late for each token of its
+/// part: about twice the time in which a runner computes the token.
 constexpr double worth_ms_per_token = 0.04;
-/// A store from which events come this much later than from the best one takes
-/// no saves: they would hold up its fetches still more.
+/// A store from which events come later by this many milliseconds than from the
+/// best one is saved to only where no other store has free capacity: saves
+/// would delay its fetches even more.
 constexpr double slow_ms = 250;
-/// Part of the calls that go on fetching from a slow store, to see its end.
+/// Minimum fraction of the calls that still fetch from a slow store, so that
+/// its recovery is noticed.
 constexpr double least_part = 0.1;
-/// What was seen longer ago says nothing of now, and counts for less until
-/// then: few calls tell of one store to one instance.
+/// Lifetime of a sample. Older samples are ignored, and the delay decays
+/// linearly to 0 until then. It is this long because an instance has few
+/// samples of each store.
 constexpr Micros sample_holds = std::chrono::seconds(3);
-/// The fleet's word is some exchanges old at most, unless this instance is cut
-/// off: then what it sees itself goes before it.
+/// A fleet-wide delay up to this age takes precedence over newer own samples.
+/// It is some exchanges old at most unless this instance is cut off; then newer
+/// own samples take precedence.
 constexpr Micros told_holds = std::chrono::milliseconds(1000);
 
-/// What is later than the best way of its zone by less than this makes no
-/// difference, and is not told: 39 ways were a third of each exchange, and
-/// instances have 0.12 cores.
+/// A path that is slower than the best one of its zone by less than this many
+/// milliseconds is not reported, since the difference has no effect. Reports on
+/// 39 paths took a third of each exchange, and instances have 0.12 cores.
 constexpr double told_ms = 50;
 
 double
@@ -48,7 +51,8 @@
     return seconds(span) * 1000;
 }
 
-/// Returns how late calls are, where they were `late_ms` late a while ago.
+/// Returns the delay `late_ms` of a sample of the given age, decayed over the
+/// lifetime of samples.
 double
 faded(double late_ms, Micros age)
 {
@@ -90,7 +94,7 @@
         add_samples(m_paths[samples.path], samples.calls, samples.late_ms, now);
 }
 
-/// Takes in that `calls` events came `late_ms` late, in the mean.
+/// Adds `calls` samples with a mean delay of `late_ms`.
 void
 FetchDelayTracker::add_samples(Seen& seen, std::uint32_t calls, double late_ms,
                                TimePoint now)
@@ -141,7 +145,7 @@
     return worth_telling;
 }
 
-/// Returns how late calls are by all ways of which that is known.
+/// Returns the delays of all paths with samples that are still valid.
 std::vector<FetchDelay>
 FetchDelayTracker::known_lateness(TimePoint now) const
 {
@@ -169,7 +173,7 @@
     return is_told(seen, now) || (seen.known && now - seen.at <= sample_holds);
 }
 
-/// Returns whether the fleet's word is fresher than what was seen here lately.
+/// Returns whether the fleet-wide delay takes precedence over own samples.
 bool
 FetchDelayTracker::is_told(const Seen& seen, TimePoint now)
 {
@@ -178,8 +182,9 @@
     return now - *seen.told_at <= told_holds || seen.at < *seen.told_at;
 }
 
-/// Returns how late the events of `seen` are: those that came, or, where none
-/// came since it was due, the one that is waited for longest.
+/// Returns the current delay: that of past events or, where no event has come
+/// since the earliest pending one was expected, the time since then if it is
+/// longer.
 double
 FetchDelayTracker::late_ms(const Seen& seen, TimePoint now)
 {
@@ -221,8 +226,8 @@
         bearable_part * millis(objective) + worth_ms_per_token * tokens;
     if (later <= allowed)
         return true;
-    // None but the least part fetches where the delay is twice what is
-    // allowed, so that the store's queue stays short.
+    // Falls to the minimum where the delay is twice what is allowed, so that
+    // the queue of the store stays short.
     const double part = std::max(least_part, 2 - later / allowed);
     constexpr std::uint64_t steps = 1000;
     return static_cast<double>(random % steps) < part * steps;
--- a/src/libcrosslink/kept/fetch_delay_tracker_test.cpp
+++ b/src/libcrosslink/kept/fetch_delay_tracker_test.cpp
@@ -36,7 +36,7 @@
     return count;
 }
 
-/// Lets 20 calls that fetch from each store come `slow` and `other`
+/// Records 20 calls for each store whose first events come `slow` and `other`
 /// milliseconds later than expected.
 void
 let_come_late(FetchDelayTracker& watch, int slow, int other)
@@ -47,8 +47,8 @@
     }
 }
 
-/// Returns what two parts come to, of which the first one lies in the slow
-/// store, for a call that is not among the few that fetch from there.
+/// Returns the places of two parts, the first of which is in the slow store,
+/// for a call that is not among the few that still fetch from there.
 std::vector<KeptPlace>
 places_with_slow_first(const FetchDelayTracker& watch,
                        const std::vector<PromptPart>& parts, int millis)
@@ -77,7 +77,7 @@
     CHECK(fetches_of(watch, 10'000) == 1000);
 }
 
-TEST_CASE("the stores that are much slower than the best one are told")
+TEST_CASE("stores that are much slower than the best one are reported")
 {
     FetchDelayTracker watch;
     let_come_late(watch, 1200, 100);
@@ -103,7 +103,7 @@
     CHECK(fetches_of(watch, 440, small_part, long_objective) == 1000);
 }
 
-TEST_CASE("calls of busy runners, expected late, tell of no slow store")
+TEST_CASE("delays that are expected of busy runners make no store slow")
 {
     FetchDelayTracker watch;
     for (int i = 0; i < 20; ++i) {
@@ -113,7 +113,7 @@
     CHECK(fetches_of(watch, 980) == 1000);
 }
 
-TEST_CASE("a call that waits long tells of a slow store before it is answered")
+TEST_CASE("a call that waits long marks a slow store before it is answered")
 {
     FetchDelayTracker watch;
     watch.first_event({"other", "a"}, at(0), at(100));
@@ -124,7 +124,7 @@
     CHECK(fetches_of(watch, 1110) == 1000);
 }
 
-TEST_CASE("a part whose forerunner is read is read too")
+TEST_CASE("a part is computed where a part before it is")
 {
     FetchDelayTracker watch;
     let_come_late(watch, 1200, 0);
@@ -136,7 +136,7 @@
     }
 }
 
-TEST_CASE("a small part is worth the wait of the parts behind it")
+TEST_CASE("a small part may be as late as all parts from it on")
 {
     FetchDelayTracker watch;
     let_come_late(watch, 220, 0);
@@ -155,9 +155,9 @@
     CHECK(fetches_of(watch, 1210) == 1000);
 }
 
-TEST_CASE("what each of many instances sees once is known to all")
+TEST_CASE("single samples of many instances add up for the whole fleet")
 {
-    // Each sees one late call of the slow store, and one of another.
+    // Each has one late call of the slow store and one call of another store.
     FetchDelayTracker holder;
     for (int i = 0; i < 20; ++i) {
         FetchDelayTracker instance;
@@ -194,7 +194,7 @@
     CHECK(together.take_unreported().back().late_ms == Approx(300));
 }
 
-TEST_CASE("the fleet's word goes before what one instance saw")
+TEST_CASE("the fleet-wide delay takes precedence over own samples")
 {
     FetchDelayTracker watch;
     let_come_late(watch, 1200, 100);
@@ -229,7 +229,7 @@
                              at(1230)));
 }
 
-TEST_CASE("an instance that is cut off goes by what it sees itself")
+TEST_CASE("an instance that is cut off uses its own samples")
 {
     FetchDelayTracker watch;
     watch.set_fleet_delay({{"slow", "a"}, 0, Micros{0}}, at(0));
--- a/src/libcrosslink/kept/import_check_test.cpp
+++ b/src/libcrosslink/kept/import_check_test.cpp
@@ -40,7 +40,7 @@
         const ImportResult fewer{"s", {asked[0].content}};
         CHECK_FALSE(import_is_sound(asked, fewer, {true, true}));
     }
-    SECTION("no word from the store")
+    SECTION("no answer from the store")
     {
         CHECK_FALSE(import_is_sound(asked, read, {}));
     }
--- a/src/libcrosslink/kept/kept_asking.cpp
+++ b/src/libcrosslink/kept/kept_asking.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-// The part of the directory that tells calls where the parts of their prompts
-// lie, and which call saves a part.
+// The part of the directory that answers calls: where the parts of their
+// prompts are stored, and which call saves a part.
 
 #include <crosslink/kept/kept_directory.h>
 
@@ -14,16 +14,16 @@
 namespace
 {
 
-/// A new holder of the duty lets nothing be saved before it listed all stores,
-/// or for this time, in which it finds out which are out of reach.
+/// A new holder of the duty assigns no saves before it has listed all stores or
+/// this time has passed, in which it finds out which of them are unreachable.
 constexpr Micros learning_time = std::chrono::milliseconds(1500);
-/// A save ends within this time, measured at 0.2 to 1 s. Callers leave, and
-/// runners change their weights, before their save was made.
+/// A save usually ends within this time; it takes 0.2 to 1 s. No save is made
+/// where the caller leaves or the runner changes its weights first.
 constexpr Micros usual_save_time = std::chrono::milliseconds(1500);
 
 } // namespace
 
-/// Returns whether it is known what each store has that can be reached.
+/// Returns whether the contents of all reachable stores are known.
 bool
 KeptDirectory::knows_stores(TimePoint now) const
 {
@@ -50,8 +50,8 @@
     return place;
 }
 
-/// Returns the space under which `last` is told as kept, of whichever term;
-/// else the one that is written to now.
+/// Returns the space under which `last` is stored, of any term; otherwise the
+/// space of the current term.
 KeptSpace
 KeptDirectory::space_of(const KeptSpace& wanted, const PromptPart& last) const
 {
@@ -99,7 +99,7 @@
     };
     if (!is_own(part.space))
         return unless_known(KeptPlace::Reason::OtherTerm);
-    // It may lie in a store that is not listed yet.
+    // It may be in a store that is not listed yet.
     if (!knows_stores(now))
         return KeptPlace::read(KeptPlace::Reason::Unknown);
     const std::string store = m_room.place_for(
@@ -114,7 +114,7 @@
     return place_part(key, store, part.tokens, longest, now);
 }
 
-/// Returns whether a store has the part, or may have it or get it.
+/// Returns whether a store has the part, may have it or may still get it.
 bool
 KeptDirectory::may_have(const std::string& store, const KeptKey& key) const
 {
@@ -123,7 +123,7 @@
            m_leftovers.contains(store, key);
 }
 
-/// Leaves a part where it is, to be saved to another store.
+/// Makes a part stale in its store, so that it can be saved to another one.
 void
 KeptDirectory::move_away(const KeptKey& key, Entry& entry, TimePoint now)
 {
@@ -133,7 +133,7 @@
     note(key, entry);
 }
 
-/// Tells one call to save a part.
+/// Assigns the save of a part to one call.
 KeptPlace
 KeptDirectory::place_part(const KeptKey& key, const std::string& store,
                           std::uint32_t tokens, Micros longest, TimePoint now)
@@ -166,7 +166,7 @@
 {
     const KeptKey key{part.space, part.id};
     const auto entry = m_parts.find(key);
-    // Where the part was moved, it can't be told whose save did not run.
+    // Where the part was moved, it is not known whose save did not run.
     if (entry != m_parts.end() && entry->second.state == State::Saving &&
         !m_leftovers.contains(key))
         drop(entry);
--- a/src/libcrosslink/kept/kept_directory.cpp
+++ b/src/libcrosslink/kept/kept_directory.cpp
@@ -12,15 +12,16 @@
 namespace
 {
 
-/// Beyond kept_answer_time: the runners' clock as told here may lag by one
-/// answer of a store on its way.
+/// Added to kept_answer_time: the estimate of the runners' clock may lag by the
+/// time that one response of a store takes.
 constexpr Micros clock_slack = std::chrono::milliseconds(500);
-/// A store is not listed more often than this for saves that are overdue.
+/// Minimum time between listings of a store for saves or frees that are
+/// overdue.
 constexpr Micros listing_pause = std::chrono::seconds(3);
 
 } // namespace
 
-/// Returns when what is told at `now` holds no more.
+/// Returns when an answer given at `now` has expired.
 TimePoint
 KeptDirectory::told_until(TimePoint now)
 {
@@ -55,7 +56,7 @@
     m_room.clear();
 }
 
-/// Takes note that a store has forgotten all.
+/// Removes the parts of a store that restarted empty.
 void
 KeptDirectory::forget_parts(std::string_view store)
 {
@@ -72,7 +73,7 @@
         [store](const std::string& other) { return other == store; });
 }
 
-/// Takes note that a part takes room in a store.
+/// Records that a part takes capacity in a store.
 void
 KeptDirectory::occupy(Entry& entry, const std::string& store,
                       std::uint32_t tokens)
@@ -82,18 +83,19 @@
     m_room.take(store, entry.tokens);
 }
 
-/// Takes note that a store has a part whole.
+/// Records that a store has a complete part.
 void
 KeptDirectory::hold(const std::string& store, const KeptPart& part,
                     TimePoint now)
 {
     const auto space = KeptSpace::parse(part.space);
-    // A later holder saved it, and frees it without a word to this one.
+    // A later holder of the duty had it saved, and frees it without notice to
+    // this one.
     if (space && space->term > m_term)
         return;
     const auto [place, added] = m_parts.try_emplace({part.space, part.id});
     Entry& entry = place->second;
-    // A part that is let go, or that lies elsewhere, stays as it is.
+    // A part that is evicted, or that is in another store, stays unchanged.
     if (!added && (entry.state == State::LetGo || entry.store != store))
         return;
     if (added) {
@@ -108,7 +110,7 @@
     }
 }
 
-/// Takes note of what is told of a part from now on.
+/// Adds the state of a part to the history of changes.
 void
 KeptDirectory::note(const KeptKey& key, const Entry& entry)
 {
@@ -158,7 +160,8 @@
     entry.told_free = false;
 }
 
-/// Returns whether `space` is this holder's: only that one is written to.
+/// Returns whether `space` has the term of this holder: parts are saved only
+/// under that one.
 bool
 KeptDirectory::is_own(const std::string& space) const
 {
@@ -166,8 +169,8 @@
     return parsed && parsed->term == m_term;
 }
 
-/// Returns whether nothing that was told of a part that was let go holds any
-/// more. What an earlier holder saved, that one may go on telling.
+/// Returns whether all answers that named an evicted part have expired. An
+/// earlier holder may still report the parts that it had saved.
 bool
 KeptDirectory::may_free(const KeptKey& key, TimePoint due, TimePoint now) const
 {
@@ -198,7 +201,7 @@
     drop_missing(address, listing, now);
 }
 
-/// Takes in the parts that a store lists as whole.
+/// Applies the parts that a store lists as complete.
 void
 KeptDirectory::take_whole(const std::string& store,
                           std::span<const KeptPart> parts, TimePoint now)
@@ -209,21 +212,22 @@
         if (known == m_parts.end())
             continue;
         Entry& entry = known->second;
-        // Two holders of the duty, or one that moved it, had it saved twice.
+        // It was saved twice: for two holders of the duty, or for one that
+        // moved it to another store.
         if (entry.store != store &&
             !m_leftovers.contains(store, known->first)) {
             const std::uint32_t room = KeptRoom::room_of(part.tokens);
             m_room.take(store, room);
             m_leftovers.add(store, known->first, room, told_until(now));
         }
-        // It is still there long after the store was asked to free it.
+        // The store still has it long after it was asked to free it.
         if (entry.told_free && now >= entry.due + listing_pause)
             entry.told_free = false;
     }
 }
 
-/// Lets go of the parts that a store lists as broken off, save those whose
-/// call may still be writing.
+/// Evicts the parts that a store lists as incomplete, except those whose call
+/// may still be writing.
 void
 KeptDirectory::take_broken(const std::string& store,
                            std::span<const KeptPart> parts, TimePoint now)
@@ -239,7 +243,7 @@
     }
 }
 
-/// Drops the parts of a store that it does not list, save those that a call
+/// Drops the parts of a store that it does not list, except those that a call
 /// may be about to write.
 void
 KeptDirectory::drop_missing(const std::string& store,
@@ -300,7 +304,7 @@
     return std::any_of(m_parts.begin(), m_parts.end(), [&](const auto& item) {
         const Entry& entry = item.second;
         const bool overdue = entry.state == State::Saving && now >= entry.due;
-        // A store tells nothing of a free whose event was lost.
+        // The store does not repeat the event of a free that was lost.
         const bool unfreed = entry.state == State::LetGo && entry.told_free &&
                              now >= entry.due + listing_pause;
         return entry.store == store && (overdue || unfreed);
--- a/src/libcrosslink/kept/kept_directory_test.cpp
+++ b/src/libcrosslink/kept/kept_directory_test.cpp
@@ -78,8 +78,8 @@
     return changes;
 }
 
-/// Lets a call save a part at 0 ms, which is whole at 100 ms. Returns what the
-/// call was told.
+/// Has a part saved at 0 ms and reported as complete at 100 ms. Returns the
+/// answer to the call that saves it.
 KeptAnswer
 keep(KeptDirectory& directory, const std::string& id)
 {
@@ -93,7 +93,7 @@
 
 } // namespace
 
-TEST_CASE("one call saves a part, and others read it until it is whole")
+TEST_CASE("one call saves a part, and others compute it until it is complete")
 {
     KeptDirectory directory = directory_with_stores();
     const KeptAnswer first = ask(directory, "p", 0);
@@ -108,7 +108,7 @@
     CHECK(later.places[0].until > later.clock);
 }
 
-TEST_CASE("a save that never ran is told to another call")
+TEST_CASE("a save that never ran is assigned to another call")
 {
     KeptDirectory directory = directory_with_stores();
     const KeptAnswer first = ask(directory, "p", 0);
@@ -116,7 +116,8 @@
     CHECK(ask(directory, "p", 10).places[0].kind == KeptPlace::Kind::Save);
 }
 
-TEST_CASE("a new holder saves under another space and tells what it found")
+TEST_CASE(
+    "a new holder saves under another space and reports the parts it found")
 {
     KeptDirectory directory = directory_with_stores(7);
     const KeptAnswer old = ask(directory, "p", 0);
@@ -133,7 +134,7 @@
     CHECK(fresh.places[0].kind == KeptPlace::Kind::Save);
 }
 
-TEST_CASE("parts of other weights and of other walls are never told")
+TEST_CASE("parts of other weights and of isolated accounts are never shared")
 {
     KeptDirectory directory = directory_with_stores();
     const KeptAnswer first = keep(directory, "p");
@@ -143,7 +144,7 @@
           KeptPlace::Kind::Fetch);
 }
 
-TEST_CASE("a part is freed only after all that was told has run out")
+TEST_CASE("a part is freed only after all answers have expired")
 {
     KeptDirectory directory = directory_with_stores();
     const KeptAnswer first = keep(directory, "p");
@@ -160,7 +161,7 @@
     CHECK(frees[0].boot == 1);
 }
 
-TEST_CASE("a store that started anew is not written to while answers hold")
+TEST_CASE("a restarted store is not written to while answers are valid")
 {
     KeptDirectory directory = directory_with_stores();
     directory.apply_listing(fast, empty_listing(2, 1500), at(500));
@@ -170,7 +171,7 @@
     CHECK(ask(directory, "p", later).places[0].kind == KeptPlace::Kind::Save);
 }
 
-TEST_CASE("a save that broke off is freed, and its part is saved anew later")
+TEST_CASE("an interrupted save is freed, and its part is saved again later")
 {
     KeptDirectory directory = directory_with_stores();
     const KeptAnswer first = ask(directory, "p", 0);
@@ -223,14 +224,16 @@
 namespace
 {
 
-/// Stores as they really are, with calls that save and fetch, for the random
-/// runs below. It reports a fetch of a part that is not whole.
+/// Simulates stores, with calls that save to and fetch from them, for the
+/// random runs below. Fails where a part is saved twice to a store, or freed
+/// during a fetch or a save.
 class World
 {
 public:
     explicit World(KeptDirectory& directory) { add(directory); }
 
-    /// The directory of one more instance, which hears what stores tell.
+    /// Adds the directory of another instance, to which the stores report their
+    /// changes too.
     void add(KeptDirectory& directory) { m_directories.push_back(&directory); }
 
     void call(KeptDirectory& directory, const std::string& id, std::int64_t now,
@@ -315,7 +318,7 @@
 
 } // namespace
 
-TEST_CASE("a new holder frees early what the earlier one tells no more")
+TEST_CASE("a new holder frees parts early where earlier holders have stopped")
 {
     const auto all = [](const KeptSpace&) { return true; };
     KeptDirectory directory;
@@ -328,12 +331,12 @@
     listing.whole.push_back({earlier.text(), "p", 160});
     directory.apply_listing(fast, listing, at(10));
     CHECK(directory.take_due_frees(all, 1, at(100)).empty());
-    SECTION("its grace must be over")
+    SECTION("the grace time of the earlier holder has passed")
     {
         CHECK(directory.take_due_frees(all, 1, at(11'400)).empty());
         CHECK(directory.take_due_frees(all, 1, at(11'600)).size() == 1);
     }
-    SECTION("or it has stopped telling")
+    SECTION("the earlier holder has stopped answering")
     {
         directory.earlier_holders_stopped(at(2000));
         CHECK(directory.take_due_frees(all, 1, at(5400)).empty());
@@ -341,10 +344,11 @@
     }
 }
 
-TEST_CASE("a part that others follow finds room in the fastest store")
+TEST_CASE("a leading part finds capacity in the fastest store")
 {
     KeptDirectory directory = directory_with_stores();
-    // 1600 tokens of room: a fifth is kept for such parts.
+    // The store has 1600 tokens of capacity, of which a fifth is reserved for
+    // leading parts.
     for (int i = 0; i < 30; ++i)
         ask(directory, "last" + std::to_string(i), 0);
     const std::vector<PromptPart> parts{{"first", 160}, {"second", 160}};
@@ -353,7 +357,7 @@
     CHECK(answer.places[1].store == big);
 }
 
-TEST_CASE("a save that takes too long is made anew elsewhere, and freed there")
+TEST_CASE("a save that takes too long is repeated in another store, then freed")
 {
     KeptDirectory directory = directory_with_stores();
     const KeptAnswer first = ask(directory, "p", 0);
@@ -362,11 +366,11 @@
     const KeptAnswer again = ask(directory, "p", 1600);
     CHECK(again.places[0].kind == KeptPlace::Kind::Save);
     CHECK(again.places[0].store != first.places[0].store);
-    // The word of a call that did not run may be of either of them.
+    // It is not known which of the two calls did not run.
     directory.not_saved({first.space, "p", 160});
     CHECK(ask(directory, "p", 1700).places[0].reason ==
           KeptPlace::Reason::BeingSaved);
-    // The first one comes late: it is not told, and freed.
+    // The first save ends late: its copy is not reported, and is freed.
     directory.apply_changes(first.places[0].store,
                             stored(first.space, "p", 2800), at(1800));
     directory.apply_changes(again.places[0].store,
@@ -379,7 +383,7 @@
     CHECK(directory.take_due_frees(never, 1, at(12'000)).empty());
 }
 
-TEST_CASE("room of a part that lies in two stores counts in both")
+TEST_CASE("a part that is in two stores takes capacity in both")
 {
     KeptDirectory directory;
     const std::vector<KeptStoreInfo> stores{managed_store(fast, 1600, 100),
@@ -393,10 +397,10 @@
         listing.whole.push_back({earlier.text(), std::to_string(i), 160});
     directory.apply_listing(fast, listing, at(10));
     directory.apply_listing(big, listing, at(10));
-    // Each of them has room for nine parts of 160 tokens, and has nine.
+    // Each of them has capacity for nine parts of 160 tokens, and has nine.
     CHECK(ask(directory, "new", 20).places[0].reason ==
           KeptPlace::Reason::NoRoom);
-    // The second copies are freed; then there is room for as many.
+    // The second copies are freed; then there is capacity for as many parts.
     directory.earlier_holders_stopped(at(20));
     CHECK(directory.take_due_frees(never, 1, at(4000)).size() == 1);
     int saved = 0;
@@ -408,7 +412,7 @@
     CHECK(saved == 9);
 }
 
-TEST_CASE("a part whose store is away is saved to another one")
+TEST_CASE("a part whose store is unreachable is saved to another one")
 {
     KeptDirectory directory = directory_with_stores();
     const KeptAnswer first = keep(directory, "p");
@@ -418,7 +422,7 @@
     CHECK(again.places[0].store != first.places[0].store);
 }
 
-TEST_CASE("a slow store is written to only where no other has room")
+TEST_CASE("a slow store is written to only where no other has capacity")
 {
     KeptDirectory directory = directory_with_stores();
     directory.set_slow({big});
@@ -442,7 +446,7 @@
 
 TEST_CASE("whatever is told, lost and freed, no fetch meets a write or a free")
 {
-    CHECK(rc::check("no fetch of what is not whole", [] {
+    CHECK(rc::check("no fetch of an incomplete part", [] {
         KeptDirectory directory = directory_with_stores();
         World world(directory);
         std::int64_t now = 0;
@@ -467,16 +471,16 @@
     }));
 }
 
-TEST_CASE("a holder that lost the duty and tells on meets no free of the next")
+TEST_CASE("a new holder frees no part that an earlier one still reports")
 {
-    CHECK(rc::check("no fetch of what another one frees", [] {
+    CHECK(rc::check("no fetch of a part that another holder frees", [] {
         KeptDirectory earlier = directory_with_stores(7);
         World world(earlier);
         KeptDirectory next;
         std::int64_t now = 0;
         const auto take_over = *rc::gen::inRange<std::int64_t>(2000, 20'000);
-        // The earlier holder tells until its grace ends, or stops before when
-        // the next one asks it to.
+        // The earlier holder answers until its grace time ends, or stops
+        // earlier where the next one asks it to.
         const bool stops = *rc::gen::arbitrary<bool>();
         const auto grace =
             stops ? *rc::gen::inRange<std::int64_t>(0, kept_grace_time.count())
@@ -515,9 +519,9 @@
     }));
 }
 
-TEST_CASE("a kept space is read back as it was written")
+TEST_CASE("a kept space is parsed from its own text")
 {
-    const KeptSpace one{"wall|with|bars", "model", 3, 12};
+    const KeptSpace one{"account|with|bars", "model", 3, 12};
     CHECK(KeptSpace::parse(one.text()) == one);
     CHECK_FALSE(KeptSpace::parse(""));
     CHECK_FALSE(KeptSpace::parse("m|x|1|"));
--- a/src/libcrosslink/kept/kept_freeing.cpp
+++ b/src/libcrosslink/kept/kept_freeing.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-// The part of the directory that lets parts go, and has the stores free them.
+// The part of the directory that evicts parts and has the stores free them.
 
 #include <crosslink/kept/kept_directory.h>
 
@@ -14,7 +14,8 @@
 namespace
 {
 
-/// A part asked for within this time is not let go for another one.
+/// A part that was requested within this time is not evicted to free up
+/// capacity, unless newer weights have parts already.
 constexpr Micros in_use_time = std::chrono::seconds(20);
 
 } // namespace
@@ -37,7 +38,7 @@
     std::erase_if(result, [now](const Dispensable& item) {
         return !item.replaced && now - item.entry->asked <= in_use_time;
     });
-    // Parts of replaced weights first, then those asked for least lately.
+    // Parts of replaced weights first, then the least recently requested ones.
     std::sort(result.begin(), result.end(),
               [](const Dispensable& one, const Dispensable& other) {
                   if (one.replaced != other.replaced)
@@ -47,7 +48,7 @@
     return result;
 }
 
-/// Returns the room of parts that were let go and are not freed yet.
+/// Returns the capacity of parts that are evicted and not freed yet.
 std::uint64_t
 KeptDirectory::let_go_tokens() const
 {
--- a/src/libcrosslink/kept/kept_history.cpp
+++ b/src/libcrosslink/kept/kept_history.cpp
@@ -12,7 +12,8 @@
 namespace
 {
 
-/// Changes that are remembered; an instance asks several times a second.
+/// Number of changes that are retained. An instance asks for new ones several
+/// times a second.
 constexpr std::size_t most_changes = 2000;
 
 } // namespace
--- a/src/libcrosslink/kept/kept_leftovers.cpp
+++ b/src/libcrosslink/kept/kept_leftovers.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-/// A free is refused by its store after the duty's lease, two seconds: until
-/// then nothing may be saved in its place.
+/// A store refuses a request to free parts once the duty's lease of two seconds
+/// has ended. Until then the part may not be saved there again.
 constexpr Micros free_under_way = std::chrono::seconds(3);
 
 } // namespace
--- a/src/libcrosslink/kept/kept_leftovers_test.cpp
+++ b/src/libcrosslink/kept/kept_leftovers_test.cpp
@@ -19,7 +19,7 @@
 
 const KeptKey key{"space", "part"};
 
-/// Lets all be freed that are due at `now`.
+/// Takes the stale parts that are due at `now`.
 std::vector<KeptLeftover>
 take_due(KeptLeftovers& leftovers, TimePoint now)
 {
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("what is left in a store is freed once")
+TEST_CASE("a stale part is freed once")
 {
     KeptLeftovers leftovers;
     leftovers.add("store", key, 160, at(1000));
@@ -42,7 +42,7 @@
     CHECK(take_due(leftovers, at(1001)).empty());
 }
 
-TEST_CASE("a part counts as left until the store must have freed it")
+TEST_CASE("a stale part is recorded until its store must have freed it")
 {
     KeptLeftovers leftovers;
     leftovers.add("store", key, 160, at(0));
@@ -54,7 +54,7 @@
     CHECK_FALSE(leftovers.contains(key));
 }
 
-TEST_CASE("a part that is left already stays as it is")
+TEST_CASE("a stale part that is recorded already stays unchanged")
 {
     KeptLeftovers leftovers;
     leftovers.add("store", key, 160, at(1000));
@@ -64,7 +64,7 @@
     CHECK(due[0].tokens == 160);
 }
 
-TEST_CASE("what is left in stores that are gone is dropped")
+TEST_CASE("the stale parts in stores that are gone are removed")
 {
     KeptLeftovers leftovers;
     leftovers.add("store", key, 160, at(0));
--- a/src/libcrosslink/kept/kept_part.cpp
+++ b/src/libcrosslink/kept/kept_part.cpp
@@ -13,7 +13,7 @@
 {
 
 constexpr char separator = '|';
-/// Model, version and term; the wall is what remains.
+/// Model, version and term; the isolated account is what remains.
 constexpr std::size_t leading_fields = 3;
 
 } // namespace
--- a/src/libcrosslink/kept/kept_replica.cpp
+++ b/src/libcrosslink/kept/kept_replica.cpp
@@ -11,10 +11,12 @@
 namespace
 {
 
-/// A fetch needs some time: what holds for less is not used.
+/// Minimum validity, in milliseconds, of an answer that is used: a fetch takes
+/// some time.
 constexpr RunnerMillis least_left = 300;
-/// Changes that are remembered for instances that learn from this one. One that
-/// missed more gets the whole directory, some ten kilobytes.
+/// Number of changes retained for the instances that get their updates from
+/// this one. An instance that missed more gets the whole directory, some ten
+/// kilobytes.
 constexpr std::size_t most_changes = 2000;
 
 } // namespace
@@ -34,7 +36,8 @@
     }
     m_term = update.term;
     m_place = update.place;
-    // Counted from the question on, the clock is never told too early.
+    // Attributed to the time of the request, so that the estimated clock is
+    // never behind the runners' clock.
     m_clock.set(update.clock, asked - update.age);
     for (const KeptEntry& entry : update.entries) {
         apply(entry);
--- a/src/libcrosslink/kept/kept_replica_test.cpp
+++ b/src/libcrosslink/kept/kept_replica_test.cpp
@@ -42,7 +42,7 @@
     return {space.text(), id, store};
 }
 
-/// Where the part `id` lies, as `replica` knows; empty for nowhere.
+/// Returns the store of the part `id` according to `replica`; empty for none.
 std::string
 store_of(const KeptReplica& replica, const std::string& id, TimePoint now)
 {
@@ -51,7 +51,7 @@
     return answer ? answer->places[0].store : std::string();
 }
 
-/// Lets `child` learn from `parent` at `now`.
+/// Updates `child` from `parent` at `now`.
 void
 learn(KeptReplica& child, const KeptReplica& parent, TimePoint now)
 {
@@ -96,7 +96,7 @@
     const auto holds = static_cast<RunnerMillis>(kept_answer_time.count());
     CHECK(answer->places[0].until == told + holds);
     CHECK(answer->clock == told + 2100);
-    // However often it is handed on.
+    // However often it is handed on, the age adds up.
     KeptReplica grandchild;
     learn(grandchild, child, at(2900));
     CHECK_FALSE(grandchild.find(space, parts, true, at(2900)));
--- a/src/libcrosslink/kept/kept_room.cpp
+++ b/src/libcrosslink/kept/kept_room.cpp
@@ -13,21 +13,22 @@
 namespace
 {
 
-/// Stores give out room in steps of so many tokens.
+/// Stores allocate capacity in multiples of this many tokens.
 constexpr std::uint32_t room_step = 16;
-/// Part of a store that is filled; the rest is for saves that broke off.
+/// Fraction of a store that is filled; the rest is for interrupted saves.
 constexpr double filled_part = 0.97;
-/// Part of the stores with faster links that is kept for forerunners. They take
-/// a hundredth of all room, but for each weights version and each term.
+/// Fraction of the stores with faster links that is reserved for leading parts.
+/// They take a hundredth of all capacity, but for each weights version and each
+/// term.
 constexpr double forerunner_part = 0.2;
-/// Part of all room that is let go at once where a store is full. At two
-/// rounds a second, all room is given anew in five seconds: half the time in
+/// Fraction of all capacity that is evicted at once where a store is full. At
+/// two rounds a second, all of it is replaced in five seconds: half the time in
 /// which new weights reach all runners.
 constexpr double let_go_part = 0.1;
-/// Part of all room that is kept free, while there are parts of replaced
-/// weights, once all runners changed to new ones; before, it is less in
-/// proportion to the runners that changed. A part is freed seconds after it was
-/// let go, and until then the saves of those seconds need room.
+/// Fraction of all capacity that is kept free, while there are parts of
+/// replaced weights, once all runners have the new ones; before that, it is
+/// less in proportion to the runners that have them. A part is freed seconds
+/// after its eviction, and until then the saves of those seconds need capacity.
 constexpr double reserve_part = 0.45;
 
 } // namespace
@@ -208,13 +209,14 @@
             best_rank = rank;
         }
     }
-    // Stores that can't be written to now are not full.
+    // Stores that can't be written to now don't count as full.
     if (best.empty() && any_full)
         m_full = true;
     return best;
 }
 
-/// Returns the part of all room that is free once `let_go` tokens are freed.
+/// Returns the fraction of all capacity that is free once `evicted` tokens are
+/// freed.
 double
 KeptRoom::free_part(std::uint64_t let_go) const
 {
--- a/src/libcrosslink/kept/kept_room_test.cpp
+++ b/src/libcrosslink/kept/kept_room_test.cpp
@@ -46,7 +46,7 @@
     return room;
 }
 
-/// Returns where a part is saved that no store has.
+/// Returns the store that is selected for a part that no store has.
 std::string
 place(KeptRoom& room, std::uint32_t tokens, bool forerunner = false,
       int now = 0)
@@ -57,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("a part takes room in whole steps")
+TEST_CASE("a part takes capacity in multiples of 16 tokens")
 {
     CHECK(KeptRoom::room_of(0) == 0);
     CHECK(KeptRoom::room_of(1) == 16);
@@ -65,7 +65,7 @@
     CHECK(KeptRoom::room_of(17) == 32);
 }
 
-TEST_CASE("only managed stores have room")
+TEST_CASE("only managed stores have capacity")
 {
     KeptRoom room;
     std::vector<KeptStoreInfo> given{managed_store(fast, 1600, 100)};
@@ -79,7 +79,7 @@
     CHECK(place(room, 16).empty());
 }
 
-TEST_CASE("forerunners go to the fastest link, others in proportion to links")
+TEST_CASE("leading parts go to the fastest link, others in proportion to links")
 {
     KeptRoom room = room_with_stores();
     CHECK(place(room, 160, true) == fast);
@@ -91,7 +91,7 @@
     CHECK(place(room, 112) == fast);
 }
 
-TEST_CASE("a fifth of a faster link is for forerunners alone")
+TEST_CASE("a fifth of a store with a faster link is for leading parts alone")
 {
     KeptRoom room = room_with_stores();
     room.take(fast, 1136);
@@ -102,7 +102,7 @@
     CHECK(place(room, 432, true).empty());
 }
 
-TEST_CASE("a slow store is written to where no other one has room")
+TEST_CASE("a slow store is written to where no other one has capacity")
 {
     KeptRoom room = room_with_stores();
     room.set_slow({fast});
@@ -122,7 +122,7 @@
     CHECK(room.place_for(160, true, may_have, at(0)).empty());
 }
 
-TEST_CASE("room is full until some is made")
+TEST_CASE("the stores are full until capacity is freed up")
 {
     KeptRoom room = room_with_stores();
     room.take(fast, 1600);
@@ -150,7 +150,7 @@
     CHECK(place(room, 16) == big);
 }
 
-TEST_CASE("no more room is given back than was taken")
+TEST_CASE("no more capacity is released than was used")
 {
     KeptRoom room = room_with_stores();
     room.take(fast, 32);
@@ -160,7 +160,7 @@
     CHECK(place(room, 288, true) == big);
 }
 
-TEST_CASE("a store that started anew is empty, and written to later")
+TEST_CASE("a restarted store is empty, and written to later")
 {
     KeptRoom room;
     room.set_stores(std::vector{managed_store(fast, 1600, 100)});
@@ -179,7 +179,7 @@
     CHECK(place(room, 16, false, 500) == fast);
 }
 
-TEST_CASE("what is known of a store stays with it until it is cleared")
+TEST_CASE("the state of a store is kept until it is cleared")
 {
     KeptRoom room = room_with_stores();
     room.take(big, 16'000);
@@ -197,7 +197,7 @@
     CHECK(place(room, 16) == big);
 }
 
-TEST_CASE("the more runners changed, the more room is kept free")
+TEST_CASE("the more runners have new weights, the more capacity is kept free")
 {
     KeptRoom room = room_with_stores();
     room.take(big, 13'200);
@@ -210,7 +210,7 @@
     CHECK_FALSE(KeptRoom().is_low(1, 0));
 }
 
-TEST_CASE("a tenth of all room is let go at once")
+TEST_CASE("a tenth of all capacity is evicted at once")
 {
     CHECK(room_with_stores().tokens_to_let_go() == Approx(1760));
 }
--- a/src/libcrosslink/weights/rollout_record.cpp
+++ b/src/libcrosslink/weights/rollout_record.cpp
@@ -29,8 +29,8 @@
 {
     for (const std::uint64_t version : m_recorded) {
         history.found(version, now);
-        // Both were written at once: the mark was there, and is over, or there
-        // was no time left for one.
+        // The version and its mark were written together: the mark has expired,
+        // or there was no time left for one.
         if (!m_marked.contains(version))
             history.lapsed(version, now - limit);
     }
--- a/src/libcrosslink/weights/rollout_record_test.cpp
+++ b/src/libcrosslink/weights/rollout_record_test.cpp
@@ -47,7 +47,7 @@
 
 } // namespace
 
-TEST_CASE("a start after the bound finds it over")
+TEST_CASE("an instance that starts after the bound excludes replaced weights")
 {
     WeightsHistory history;
     history.found(3, at(20000));
@@ -57,7 +57,7 @@
     CHECK(least(history, 20000) == 3);
 }
 
-TEST_CASE("a bound that is over stays so while the platform is away")
+TEST_CASE("a bound that has passed stays so while the platform is unreachable")
 {
     PlatformAvailability reach(std::chrono::seconds(3));
     reach.lost(at(11000));
@@ -68,7 +68,7 @@
     CHECK(least(history, 20001, reach) == 2);
 }
 
-TEST_CASE("a mark that is set counts a version from its finding")
+TEST_CASE("a version with a mark counts as named when it was found")
 {
     WeightsHistory history;
     history.found(2, at(5000));
@@ -80,7 +80,8 @@
     CHECK(least(history, 15000) == 2);
 }
 
-TEST_CASE("a mark that goes ends the bound, and dates the naming")
+TEST_CASE(
+    "a mark that expires ends the bound, and sets the time of its version")
 {
     WeightsHistory history;
     history.found(2, at(5000));
@@ -91,12 +92,12 @@
     CHECK(least(history, 9000) == 2);
     CHECK(history.replaced_at(1) == at(1000));
     CHECK(history.left(2, limit, at(9000), always_reached()) == Micros{0});
-    // What the record tells again later says nothing new.
+    // The same record applied again changes nothing.
     record.apply_to(history, limit, at(9500));
     CHECK(history.replaced_at(1) == at(1000));
 }
 
-TEST_CASE("a mark that stays too long makes no bound longer")
+TEST_CASE("a mark that stays too long does not extend the bound")
 {
     WeightsHistory history;
     history.found(2, at(5000));
@@ -105,7 +106,7 @@
     CHECK(least(history, 11000) == 2);
 }
 
-TEST_CASE("who heard of weights in time needs no mark")
+TEST_CASE("an instance that learned of weights in time needs no mark")
 {
     WeightsHistory history;
     history.named(2, at(1000));
@@ -131,14 +132,14 @@
     history.named(5, at(0));
     CHECK(RolloutRecord().missing(history) == Versions{2, 5});
     CHECK(record_of({2}, {}).missing(history) == Versions{5});
-    // A full record has let go of older ones.
+    // A full record has dropped older ones.
     const RolloutRecord full = record_of({3, 4, 5, 6, 7, 8, 9, 10}, {});
     CHECK(full.missing(history).empty());
     history.named(11, at(0));
     CHECK(full.missing(history) == Versions{11});
 }
 
-TEST_CASE("a record keeps the newest versions in rising order")
+TEST_CASE("a record keeps the newest versions in ascending order")
 {
     CHECK(with_version(Versions{2, 5}, 3) == Versions{2, 3, 5});
     CHECK(with_version(Versions{2, 3, 4, 5, 6, 7, 8, 9}, 10) ==
--- a/src/libcrosslink/weights/weights_history_test.cpp
+++ b/src/libcrosslink/weights/weights_history_test.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("weights count from when the first instance heard of them")
+TEST_CASE("weights count as named when the first instance learned of them")
 {
     WeightsHistory history;
     history.named(1, TimePoint(Micros(0)));
@@ -41,7 +41,7 @@
                                   PlatformAvailability(Micros(0))) == 2);
 }
 
-TEST_CASE("a version must have given way when its bound has passed")
+TEST_CASE("a version is excluded when the bound has passed")
 {
     WeightsHistory weights;
     CHECK(weights.newest() == 0);
@@ -53,7 +53,8 @@
     CHECK(weights.minimum_version(bound, at(10'999), reach) == 0);
     CHECK(weights.minimum_version(bound, at(11'000), reach) == 2);
     CHECK(weights.minimum_version(bound, at(14'000), reach) == 5);
-    // What had to give way before the platform went away does not come back.
+    // Versions that were excluded before the platform became unreachable stay
+    // excluded.
     reach.lost(at(12'000));
     CHECK(weights.minimum_version(bound, at(14'000), reach) == 2);
     reach.regained(at(14'000));
--- a/src/libcrosslink/weights/weights_plan.cpp
+++ b/src/libcrosslink/weights/weights_plan.cpp
@@ -12,42 +12,44 @@
 namespace
 {
 
-/// Part of the runners that load at once. More of them load more slowly, and
-/// a prompt on new weights is read whole: five in six serve meanwhile
-/// (docs/MEASUREMENTS.md has the figures).
+/// Fraction of the runners that load at once. More of them load more slowly,
+/// and prompts on new weights are computed in full: five in six runners
+/// continue to serve meanwhile (docs/MEASUREMENTS.md has the figures).
 constexpr double part_at_once = 1.0 / 6;
-/// Most of the runners that load at once, however little time is left.
+/// Maximum fraction of the runners that load at once, however little time is
+/// left.
 constexpr double most_at_once = 0.4;
-/// Time of one order: runs end, then the weights are loaded. Measured at 1.1
-/// to 2.6 s, mostly 1.6 s.
+/// Typical time of one order: the calls of the runner end, then the weights are
+/// loaded. It takes 1.1 to 2.6 s, mostly 1.6 s.
 constexpr Micros order_time = std::chrono::milliseconds(1600);
-/// So long before the bound this part of the runners that have the oldest
-/// weights should be done. Nothing is sent to the rest any more (runner_choice
-/// stops a little earlier still): they load without calls.
+/// This long before the bound, the fraction done_fraction of the runners with
+/// the oldest weights should be done. No calls are sent to the rest any more
+/// (runner_choice stops a little earlier still): they load without calls.
 constexpr Micros finish_margin = std::chrono::milliseconds(1500);
 constexpr double done_part = 0.55;
 constexpr double least_left_s = 0.5;
-/// An order whose runner says neither that it is busy nor that it is done is
-/// given again after this time; one that is under way ends by itself.
+/// An order is sent again after this time where its runner reports neither that
+/// it is busy nor that it is done. An order in progress ends by itself.
 constexpr Micros unheard_time = std::chrono::milliseconds(700);
-/// Longest time that an accepted order holds its place in the plan. Runs end
-/// first, and the longest one ends by its deadline.
+/// Longest time for which an accepted order stays open. The calls of the runner
+/// end first, the longest of them by its deadline.
 constexpr Micros longest_order = std::chrono::seconds(6);
-/// An open order whose runner answers nothing gives its place to another one
-/// after this time: one lost report takes 0.4 s, and the next one 0.1 s.
-/// Silent runners held all places for seconds otherwise.
+/// An open order whose runner answers nothing releases its slot after this
+/// time: one lost report takes 0.4 s, and the next one 0.1 s. Without this,
+/// silent runners held all slots for seconds.
 constexpr Micros silent_time = std::chrono::milliseconds(600);
-/// So long the other instances are told that a runner has loaded. Runners renew
-/// their own entry of the list about every 1.2 s, and it is read a moment
-/// later.
+/// Time for which the other instances are informed that a runner has loaded.
+/// Runners renew their own list entry about every 1.2 s, and it is read a
+/// moment later.
 constexpr Micros told_time = std::chrono::seconds(3);
-/// Pause before a runner that was busy or refused is ordered again. It grows
-/// with each order in a row that came to nothing, so that a runner that loses
-/// its orders takes no turns from those that wait behind it.
+/// Pause before a runner that was busy or refused gets another order. It grows
+/// with each consecutive order that failed, so that a runner that fails its
+/// orders takes no turns from those that wait behind it.
 constexpr Micros again_pause = std::chrono::milliseconds(400);
 constexpr std::uint32_t most_doublings = 3;
-/// Pause of a runner that is still being talked to: two rounds of the plan, so
-/// that one whose talk hangs does not take a place in each round.
+/// Pause before the next order to a runner with a request in progress: two
+/// rounds of the plan, so that a runner whose request hangs does not take a
+/// slot in each round.
 constexpr Micros talk_pause = std::chrono::milliseconds(160);
 
 } // namespace
@@ -58,7 +60,7 @@
     m_models[std::string(model)] = history;
 }
 
-/// Returns how many runners should load at once: a part of them, and more
+/// Returns how many runners should load at once: a fraction of them, and more
 /// where those with the oldest weights would not be done in time.
 std::size_t
 WeightsPlan::at_once(std::string_view model, const RunnerTable& runners,
@@ -106,7 +108,7 @@
             !waits({id, std::string(model)}, newest, now))
             result.push_back(&entry);
     }
-    // The oldest weights first: they are the first to be forbidden.
+    // The oldest weights first: calls to them are the first to be forbidden.
     const auto rank = [model](const RunnerEntry* entry) {
         return std::pair(entry->version_of(model),
                          entry->own.calls + entry->others.calls);
@@ -130,8 +132,8 @@
     return same ? open : m_open.end();
 }
 
-/// Forgets the orders that took too long, and those of runners that are gone
-/// or started anew: a new process knows nothing of an order to the earlier one.
+/// Removes the orders that took too long, and those of runners that are gone or
+/// have restarted: a new process does not know an order to the earlier one.
 void
 WeightsPlan::drop_overdue(const RunnerTable& runners, TimePoint now)
 {
@@ -153,8 +155,8 @@
     });
 }
 
-/// Returns what became of earlier orders like `order`. Those for another
-/// version count no more.
+/// Returns the retry state for the runner and the model of `order`. Failures of
+/// orders for another version don't count.
 WeightsPlan::Again&
 WeightsPlan::again_for(const WeightsOrder& order)
 {
@@ -164,7 +166,7 @@
     return again;
 }
 
-/// Returns whether a runner is not to be ordered yet.
+/// Returns whether a runner must not get another order yet.
 bool
 WeightsPlan::waits(const RunnerModel& runner, std::uint64_t version,
                    TimePoint now) const
@@ -174,8 +176,8 @@
            now < again->second.at;
 }
 
-/// Takes note that an order came to nothing. The first one may simply have got
-/// lost, and is given again at once.
+/// Records that an order failed. The first one may simply have been lost, and
+/// is sent again at once.
 void
 WeightsPlan::failed(const WeightsOrder& order, TimePoint now)
 {
@@ -184,7 +186,7 @@
     again.failures = std::min(again.failures + 1, most_doublings);
 }
 
-/// Lets the runner not be ordered again for a while.
+/// Delays the next order to a runner by at least `time`.
 void
 WeightsPlan::pause(const WeightsOrder& order, Micros time, TimePoint now)
 {
@@ -192,9 +194,9 @@
     again.at = std::max(again.at, now + time);
 }
 
-/// Returns how many open orders hold a place among the runners of `model` that
-/// load at once. Those of other models take none: the larger model would shut
-/// out the smaller one.
+/// Returns how many open orders hold a slot among the runners of `model` that
+/// load at once. Orders for other models take none: the larger model would
+/// starve the smaller one.
 std::size_t
 WeightsPlan::places_taken(std::string_view model, TimePoint now) const
 {
@@ -242,7 +244,7 @@
                      TimePoint now)
 {
     const auto open = find_open(order);
-    // An earlier order's outcome says nothing of one for newer weights.
+    // The outcome of an earlier order does not apply to one for newer weights.
     if (open == m_open.end() || open->second.order.version != order.version)
         return;
     if (outcome != OrderOutcome::Unknown)
@@ -302,7 +304,7 @@
         return;
     }
     const bool done = version >= open->second.order.version;
-    // It was accepted and is gone: the runner started anew meanwhile.
+    // It was accepted and is gone: the runner has restarted meanwhile.
     const bool forgotten =
         open->second.accepted && now > open->second.given + unheard_time;
     if (done) {
--- a/src/libcrosslink/weights/weights_plan_test.cpp
+++ b/src/libcrosslink/weights/weights_plan_test.cpp
@@ -73,7 +73,7 @@
 
 } // namespace
 
-TEST_CASE("an order to the earlier process of a runner holds no place")
+TEST_CASE("an order to the earlier process of a runner holds no slot")
 {
     WeightsPlan plan(bound);
     WeightsHistory history;
@@ -103,7 +103,7 @@
     CHECK(orders[0].runner == "r1");
 }
 
-TEST_CASE("a part of the runners loads new weights at once")
+TEST_CASE("a fraction of the runners loads new weights at once")
 {
     WeightsPlan plan(bound);
     const RunnerTable table = runners_with(std::vector<std::uint64_t>(18, 1));
@@ -164,7 +164,7 @@
         plan.reported(orders[0], 1, true, at(500));
         CHECK(plan.due(table, at(800)).empty());
     }
-    SECTION("accepted by a runner that then started anew")
+    SECTION("accepted by a runner that then restarted")
     {
         plan.ordered(orders[0], OrderOutcome::Accepted, at(10));
         plan.reported(orders[0], 1, false, at(900));
@@ -172,7 +172,7 @@
     }
 }
 
-TEST_CASE("a runner that loses its orders takes no turns from the others")
+TEST_CASE("a runner that fails its orders takes no turns from the others")
 {
     WeightsPlan plan(bound);
     plan.follow(model, history({2}));
@@ -190,7 +190,7 @@
     CHECK(std::count(ordered.begin(), ordered.end(), "r1") >= 2);
 }
 
-TEST_CASE("a runner that refuses is ordered again after a pause that grows")
+TEST_CASE("a runner that refuses gets another order after a growing pause")
 {
     WeightsPlan plan(bound);
     plan.follow(model, history({2}));
@@ -230,7 +230,7 @@
     CHECK(plan.loaded(at(900)).size() == 1);
 }
 
-TEST_CASE("a runner that is not asked keeps its place, and one that answers")
+TEST_CASE("a runner that is not asked, or that answers, keeps its slot")
 {
     WeightsPlan plan(bound);
     plan.follow(model, history({2}));
@@ -244,7 +244,7 @@
     CHECK(plan.due(table, at(4000)).empty());
 }
 
-TEST_CASE("a model's runners take no places from those of another model")
+TEST_CASE("runners of one model take no slots from those of another model")
 {
     WeightsPlan plan(bound);
     plan.follow(model, history({2}));
@@ -255,7 +255,7 @@
     CHECK(orders == std::map<std::string, int>{{model, 3}, {other_model, 1}});
 }
 
-TEST_CASE("a runner's word on one model closes no order for another one")
+TEST_CASE("a runner's report on one model closes no order for another one")
 {
     WeightsPlan plan(bound);
     plan.follow(other_model, history({3}));
@@ -309,11 +309,11 @@
     CHECK(times == std::vector<int>{0, 400, 800, 900, 1300, 1700});
 }
 
-TEST_CASE("an order that was not given is due again, and is no failure")
+TEST_CASE("an order that was not sent is due again, and is no failure")
 {
     WeightsPlan plan(bound);
     plan.follow(model, history({2}));
-    SECTION("it does not count among those that came to nothing")
+    SECTION("it does not count as a failure")
     {
         const RunnerTable table = runners_with({1});
         for (const WeightsOrder& order : plan.due(table, at(0)))
@@ -328,7 +328,7 @@
         }
         CHECK(times == std::vector<int>{200, 600, 1000, 2200});
     }
-    SECTION("others go first")
+    SECTION("other runners go first")
     {
         const RunnerTable table =
             runners_with(std::vector<std::uint64_t>(18, 1));
@@ -355,7 +355,7 @@
     CHECK(plan.open().empty());
 }
 
-TEST_CASE("a plan tells for a while which runners have loaded")
+TEST_CASE("a plan reports for a while which runners have loaded")
 {
     WeightsPlan plan(bound);
     plan.follow(model, history({2}));
@@ -372,7 +372,7 @@
     CHECK(plan.loaded(at(5000)).empty());
 }
 
-TEST_CASE("a plan tells which part of the runners has the newest weights")
+TEST_CASE("a plan reports the fraction of runners with the newest weights")
 {
     WeightsPlan plan(bound);
     plan.follow(model, history({2}));
