--- a/src/include/crosslink/kept/fetch_delay_tracker.h
+++ b/src/include/crosslink/kept/fetch_delay_tracker.h
@@ -95,28 +95,28 @@
                           TimePoint now) const;
 
 private:
-    struct Seen {
+    struct PathStats {
         bool known = false;
         double late_ms = 0; ///< Smoothed; negative where events come early.
         TimePoint at{};     ///< Time of the newest sample.
-        FetchSamples untold;
-        double told_late_ms = 0;
-        std::optional<TimePoint> told_at;
+        FetchSamples unreported;
+        double fleet_late_ms = 0;
+        std::optional<TimePoint> fleet_at;
         /// Expected times of calls without an event.
-        std::multiset<TimePoint> open;
+        std::multiset<TimePoint> pending;
     };
 
     /// Returns by how many milliseconds events come later by `path` than from
     /// the best other store to that zone; 0 where that is not known.
-    double later_ms(const FetchPath& path, TimePoint now) const;
-    std::vector<FetchDelay> known_lateness(TimePoint now) const;
-    void add_samples(Seen& seen, std::uint32_t calls, double late_ms,
+    double excess_ms(const FetchPath& path, TimePoint now) const;
+    std::vector<FetchDelay> known_delays(TimePoint now) const;
+    void add_samples(PathStats& stats, std::uint32_t calls, double late_ms,
                      TimePoint now);
-    static bool is_known(const Seen& seen, TimePoint now);
-    static bool is_told(const Seen& seen, TimePoint now);
-    static double late_ms(const Seen& seen, TimePoint now);
+    static bool is_known(const PathStats& stats, TimePoint now);
+    static bool uses_fleet_delay(const PathStats& stats, TimePoint now);
+    static double late_ms(const PathStats& stats, TimePoint now);
 
-    std::map<FetchPath, Seen> m_paths;
+    std::map<FetchPath, PathStats> m_paths;
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/kept/kept_directory.h
+++ b/src/include/crosslink/kept/kept_directory.h
@@ -79,7 +79,7 @@
     /// other one has free capacity.
     void set_slow(std::set<std::string, std::less<>> stores)
     {
-        m_room.set_slow(std::move(stores));
+        m_capacity.set_slow(std::move(stores));
     }
     /// Records that a store does not answer.
     void unreachable(std::string_view store);
@@ -111,20 +111,20 @@
     RunnerMillis runner_clock(TimePoint now) const { return m_clock.at(now); }
 
 private:
-    enum class State { Saving, Held, LetGo };
+    enum class State { Saving, Stored, Evicted };
     struct Entry {
         State state = State::Saving;
         std::string store;
         std::uint32_t tokens = 0; ///< Capacity that it takes.
-        TimePoint asked{};        ///< When it was last requested.
-        TimePoint placed{};       ///< When a call was assigned its save.
+        TimePoint requested{};    ///< When it was last requested.
+        TimePoint assigned{};     ///< When a call was assigned its save.
         /// Saving: when its call must have ended. Evicted: when it may be
         /// freed, unless an earlier holder may still report it.
         TimePoint due{};
-        bool told_free = false; ///< The store was asked to free it.
+        bool free_requested = false; ///< The store was asked to free it.
     };
     /// A part that may be evicted to free up capacity.
-    struct Dispensable {
+    struct EvictionCandidate {
         std::string model;
         std::uint64_t version = 0;
         bool replaced = false; ///< Newer weights have parts already.
@@ -133,50 +133,52 @@
     };
     using Parts = std::map<KeptKey, Entry>;
 
-    static TimePoint told_until(TimePoint now);
+    static TimePoint answer_expiry(TimePoint now);
 
-    void forget_parts(std::string_view store);
-    void take_whole(const std::string& store, std::span<const KeptPart> parts,
-                    TimePoint now);
-    void take_broken(const std::string& store, std::span<const KeptPart> parts,
-                     TimePoint now);
+    void remove_parts(std::string_view store);
+    void apply_complete(const std::string& store,
+                        std::span<const KeptPart> parts, TimePoint now);
+    void apply_incomplete(const std::string& store,
+                          std::span<const KeptPart> parts, TimePoint now);
     void drop_missing(const std::string& store, const KeptListing& listing,
                       TimePoint now);
     void occupy(Entry& entry, const std::string& store, std::uint32_t tokens);
-    void hold(const std::string& store, const KeptPart& part, TimePoint now);
+    void mark_stored(const std::string& store, const KeptPart& part,
+                     TimePoint now);
     bool knows_stores(TimePoint now) const;
     bool may_free(const KeptKey& key, TimePoint due, TimePoint now) const;
     void drop(Parts::iterator entry);
-    void note(const KeptKey& key, const Entry& entry);
-    void let_go(const KeptKey& key, Entry& entry, TimePoint now);
-    KeptPlace place_part(const KeptKey& key, const std::string& store,
-                         std::uint32_t tokens, Micros longest, TimePoint now);
+    void record_change(const KeptKey& key, const Entry& entry);
+    void evict(const KeptKey& key, Entry& entry, TimePoint now);
+    KeptPlace assign_save(const KeptKey& key, const std::string& store,
+                          std::uint32_t tokens, Micros longest, TimePoint now);
     bool may_have(const std::string& store, const KeptKey& key) const;
     bool is_own(const std::string& space) const;
     bool should_move(const Entry& entry, TimePoint now) const;
-    void move_away(const KeptKey& key, Entry& entry, TimePoint now);
-    void free_leftovers(std::map<std::string, KeptFree>& frees, TimePoint now);
+    void make_stale(const KeptKey& key, Entry& entry, TimePoint now);
+    void free_stale_parts(std::map<std::string, KeptFree>& frees,
+                          TimePoint now);
     void add_free(std::map<std::string, KeptFree>& frees,
                   const std::string& store, const KeptKey& key,
                   std::uint32_t tokens) const;
     KeptSpace space_of(const KeptSpace& wanted, const PromptPart& last) const;
-    KeptPlace ask_part(const KeptPart& part, bool forerunner, Micros longest,
-                       TimePoint now);
-    KeptPlace place_of(const Entry& entry, TimePoint now) const;
-    std::vector<Dispensable> dispensable(TimePoint now);
-    std::uint64_t let_go_tokens() const;
-    void make_room(double updated_fraction, TimePoint now);
-    void let_go_obsolete(const std::function<bool(const KeptSpace&)>& obsolete,
+    KeptPlace answer_for(const KeptPart& part, bool leading, Micros longest,
                          TimePoint now);
+    KeptPlace place_of(const Entry& entry, TimePoint now) const;
+    std::vector<EvictionCandidate> eviction_candidates(TimePoint now);
+    std::uint64_t evicted_tokens() const;
+    void evict_for_capacity(double updated_fraction, TimePoint now);
+    void evict_obsolete(const std::function<bool(const KeptSpace&)>& obsolete,
+                        TimePoint now);
 
-    KeptRoom m_room;
+    StoreCapacity m_capacity;
     Parts m_parts;
-    KeptLeftovers m_leftovers;
+    StaleParts m_stale_parts;
     std::uint64_t m_term = 0;
     std::set<std::uint64_t> m_terms; ///< Terms of all known parts.
     KeptHistory m_history;           ///< Changes of the stored parts.
-    TimePoint m_began{};
-    TimePoint m_silent_from{}; ///< No earlier holder answers after it.
+    TimePoint m_started{};
+    TimePoint m_earlier_stopped{}; ///< No earlier holder answers after it.
     RunnerClock m_clock;
 };
 
--- a/src/include/crosslink/kept/kept_leftovers.h
+++ b/src/include/crosslink/kept/kept_leftovers.h
@@ -16,19 +16,19 @@
 
 /// A part in a store that the directory no longer reports for the part. The
 /// store may have it, complete or incomplete, or not at all.
-struct KeptLeftover {
+struct StalePart {
     std::string store; ///< Address.
     KeptKey key;
     std::uint32_t tokens = 0; ///< Capacity that it takes.
     TimePoint due{}; ///< No call writes or fetches it there after this time.
     /// The store was asked to free it, and has done so by `due`.
-    bool told_free = false;
+    bool free_requested = false;
 };
 
 /// The parts in stores that the directory of kept parts no longer reports for
 /// them. The directory has no part saved to a store where it is stale, and has
 /// the store free a stale part once all answers that named it have expired.
-class KeptLeftovers
+class StaleParts
 {
 public:
     /// Records that `store` may have a part until the part is freed, which may
@@ -41,18 +41,18 @@
     bool contains(const std::string& store, const KeptKey& key) const;
 
     /// Removes the parts in the stores for which `gone` returns true.
-    void forget_stores(const std::function<bool(const std::string&)>& gone);
-    void clear() { m_leftovers.clear(); }
+    void remove_stores(const std::function<bool(const std::string&)>& gone);
+    void clear() { m_stale_parts.clear(); }
 
     /// Returns the parts that are to be freed now: `may_free` returns true for
     /// them, and their store was not asked yet. Removes those that have been
     /// freed.
-    std::vector<KeptLeftover>
-    take_due(const std::function<bool(const KeptLeftover&)>& may_free,
+    std::vector<StalePart>
+    take_due(const std::function<bool(const StalePart&)>& may_free,
              TimePoint now);
 
 private:
-    std::vector<KeptLeftover> m_leftovers;
+    std::vector<StalePart> m_stale_parts;
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/kept/kept_part.h
+++ b/src/include/crosslink/kept/kept_part.h
@@ -110,7 +110,7 @@
     Reason reason = Reason::Unknown; ///< For None.
 
     /// Returns the place of a part that is to be computed.
-    static KeptPlace read(Reason reason)
+    static KeptPlace compute(Reason reason)
     {
         KeptPlace place;
         place.reason = reason;
--- a/src/include/crosslink/kept/kept_replica.h
+++ b/src/include/crosslink/kept/kept_replica.h
@@ -80,16 +80,16 @@
     };
 
     void apply(const KeptEntry& entry);
-    void remember(std::uint64_t place, const KeptEntry& entry);
-    std::vector<KeptEntry> all() const;
+    void retain(std::uint64_t place, const KeptEntry& entry);
+    std::vector<KeptEntry> all_entries() const;
 
     std::uint64_t m_term = 0;
     std::uint64_t m_place = 0;
     /// Changes after this position are retained.
-    std::uint64_t m_first = 0;
+    std::uint64_t m_history_start = 0;
     std::deque<Change> m_changes; ///< Oldest first.
     RunnerClock m_clock;
-    std::map<KeptKey, std::string> m_places; ///< Store addresses.
+    std::map<KeptKey, std::string> m_stores; ///< Store addresses.
     std::set<std::uint64_t> m_terms;         ///< Of all spaces.
 };
 
--- a/src/include/crosslink/kept/kept_room.h
+++ b/src/include/crosslink/kept/kept_room.h
@@ -22,11 +22,11 @@
 /// The capacity of the stores of KV parts: which stores exist and answer, how
 /// much of each is used, and to which of them a part is saved. Stores are
 /// identified by their addresses; updates of an unknown store are ignored.
-class KeptRoom
+class StoreCapacity
 {
 public:
     /// Returns the capacity, in tokens, that a part of `tokens` takes.
-    static std::uint32_t room_of(std::uint32_t tokens);
+    static std::uint32_t capacity_of(std::uint32_t tokens);
 
     /// Sets the managed stores of the configuration. The state of those that
     /// remain is kept.
@@ -49,20 +49,20 @@
     /// store.
     std::optional<TimePoint> listed_at(std::string_view store) const;
     /// Returns whether every store has reported its boot.
-    bool all_told() const;
+    bool all_reported() const;
 
     /// Sets a store's boot. Returns true where the store has restarted: it is
     /// empty, and is written to only from `writable_from` on.
-    bool take_boot(std::string_view store, std::uint64_t boot,
-                   TimePoint write_from);
+    bool update_boot(std::string_view store, std::uint64_t boot,
+                     TimePoint writable_from);
     /// Records that a store listed its parts at `now`.
-    void listed(std::string_view store, TimePoint now);
+    void set_listed(std::string_view store, TimePoint now);
     void set_reachable(std::string_view store, bool reachable);
 
     /// Records that `tokens` of capacity are used in a store.
-    void take(std::string_view store, std::uint32_t tokens);
+    void add_used(std::string_view store, std::uint32_t tokens);
     /// Records that `tokens` of capacity are free again in a store.
-    void give_back(std::string_view store, std::uint32_t tokens);
+    void release(std::string_view store, std::uint32_t tokens);
 
     /// Returns the store that a part of `tokens` should be saved to, excluding
     /// those that may have it already according to `may_have`; empty where none
@@ -71,19 +71,19 @@
     /// fetched for many prompts. Other parts fill the stores in proportion to
     /// their links, so that fetches are spread evenly.
     std::string
-    place_for(std::uint32_t tokens, bool forerunner,
-              const std::function<bool(const std::string&)>& may_have,
-              TimePoint now);
+    select_store(std::uint32_t tokens, bool leading,
+                 const std::function<bool(const std::string&)>& may_have,
+                 TimePoint now);
     /// Returns whether a part found no capacity since some was last freed up.
     bool is_full() const { return m_full; }
     /// Records that capacity is being freed up.
-    void made() { m_full = false; }
+    void clear_full() { m_full = false; }
     /// Returns whether less capacity is free than is to be kept free, where the
     /// fraction `updated_fraction` of the runners, 0 to 1, has the newest
     /// weights. `evicted` tokens of the used capacity are about to be freed.
-    bool is_low(double updated_fraction, std::uint64_t let_go) const;
+    bool below_reserve(double updated_fraction, std::uint64_t evicted) const;
     /// Returns the tokens that are evicted at once to free up capacity.
-    double tokens_to_let_go() const;
+    double tokens_to_evict() const;
 
 private:
     struct Store {
@@ -92,17 +92,17 @@
         std::uint64_t boot = 0;
         std::uint64_t used_tokens = 0;
         /// Answers from before its restart have expired.
-        TimePoint write_from{};
+        TimePoint writable_from{};
         TimePoint listed_at{};
     };
 
     Store* find(std::string_view store);
     const Store* find(std::string_view store) const;
-    static bool is_open(const Store& store, TimePoint now);
-    bool has_room(const Store& store, std::uint32_t tokens,
-                  bool forerunner) const;
+    static bool is_writable(const Store& store, TimePoint now);
+    bool has_capacity(const Store& store, std::uint32_t tokens,
+                      bool leading) const;
     double slowest_link() const;
-    double free_part(std::uint64_t let_go) const;
+    double free_fraction(std::uint64_t evicted) const;
 
     std::map<std::string, Store, std::less<>> m_stores; ///< By address.
     std::set<std::string, std::less<>> m_slow;          ///< Addresses.
--- a/src/include/crosslink/kept/runner_clock.h
+++ b/src/include/crosslink/kept/runner_clock.h
@@ -26,18 +26,18 @@
     void advance(RunnerMillis clock, TimePoint now);
 
     /// Returns whether a time was reported.
-    bool is_known() const { return m_told != 0; }
+    bool is_known() const { return m_reported != 0; }
     /// Returns the last reported time; 0 where there is none.
-    RunnerMillis told() const { return m_told; }
+    RunnerMillis reported() const { return m_reported; }
     /// Returns when that time was reported.
-    TimePoint told_at() const { return m_told_at; }
+    TimePoint reported_at() const { return m_reported_at; }
     /// Returns the clock at `now`, which is not before the last report; 0 where
     /// it is not known.
     RunnerMillis at(TimePoint now) const;
 
 private:
-    RunnerMillis m_told = 0;
-    TimePoint m_told_at{};
+    RunnerMillis m_reported = 0;
+    TimePoint m_reported_at{};
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/weights/weights_history.h
+++ b/src/include/crosslink/weights/weights_history.h
@@ -47,7 +47,7 @@
     /// platform is unreachable and orders can't be given.
     void lapsed(std::uint64_t version, TimePoint at);
     /// Returns all versions that were named, in ascending order.
-    const std::vector<NamedWeights>& all() const { return m_named; }
+    const std::vector<NamedWeights>& all() const { return m_versions; }
     /// Returns the newest version; 0 where none was named.
     std::uint64_t newest() const;
     /// Returns when the first version above `version` was named; nothing
@@ -66,9 +66,9 @@
 
 private:
     /// Returns the position of `version`, or of the first version after it.
-    std::vector<NamedWeights>::iterator place_of(std::uint64_t version);
+    std::vector<NamedWeights>::iterator position_of(std::uint64_t version);
 
-    std::vector<NamedWeights> m_named; ///< In ascending order.
+    std::vector<NamedWeights> m_versions; ///< In ascending order.
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/weights/weights_plan.h
+++ b/src/include/crosslink/weights/weights_plan.h
@@ -75,17 +75,17 @@
     double updated_fraction(const RunnerTable& runners) const;
 
 private:
-    struct Open {
+    struct OpenOrder {
         WeightsOrder order;
-        TimePoint given; ///< When it was sent, or accepted.
-        TimePoint
-            heard; ///< When the runner last answered, or when it was sent.
+        TimePoint sent_at;       ///< When it was sent, or accepted.
+        TimePoint last_response; ///< When the runner last answered, or when it
+                                 ///< was sent.
         bool accepted = false;
         bool unanswered = false; ///< A request since then got no answer.
 
-        void heard_at(TimePoint now)
+        void record_response(TimePoint now)
         {
-            heard = now;
+            last_response = now;
             unanswered = false;
         }
         /// The time of an order counts from its acceptance, since it may be
@@ -93,12 +93,12 @@
         void accept(TimePoint now)
         {
             if (!accepted)
-                given = now;
+                sent_at = now;
             accepted = true;
         }
     };
 
-    using OpenOrders = std::map<std::string, Open, std::less<>>;
+    using OpenOrders = std::map<std::string, OpenOrder, std::less<>>;
 
     struct Loaded {
         WeightsOrder order;
@@ -113,31 +113,31 @@
     };
 
     /// When a runner may get another order, after orders that failed.
-    struct Again {
+    struct Retry {
         std::uint64_t version = 0; ///< Version that was ordered.
         TimePoint at{};
         std::uint32_t failures = 0; ///< Consecutive ones.
     };
 
     OpenOrders::iterator find_open(const WeightsOrder& order);
-    Again& again_for(const WeightsOrder& order);
-    bool waits(const RunnerModel& runner, std::uint64_t version,
-               TimePoint now) const;
-    void failed(const WeightsOrder& order, TimePoint now);
-    void pause(const WeightsOrder& order, Micros time, TimePoint now);
+    Retry& retry_for(const WeightsOrder& order);
+    bool must_wait(const RunnerModel& runner, std::uint64_t version,
+                   TimePoint now) const;
+    void record_failure(const WeightsOrder& order, TimePoint now);
+    void delay_retry(const WeightsOrder& order, Micros time, TimePoint now);
     void drop_overdue(const RunnerTable& runners, TimePoint now);
-    std::vector<const RunnerEntry*> behind(std::string_view model,
-                                           const RunnerTable& runners,
-                                           TimePoint now) const;
-    std::size_t places_taken(std::string_view model, TimePoint now) const;
-    std::size_t at_once(std::string_view model, const RunnerTable& runners,
-                        TimePoint now) const;
+    std::vector<const RunnerEntry*> outdated_runners(std::string_view model,
+                                                     const RunnerTable& runners,
+                                                     TimePoint now) const;
+    std::size_t slots_taken(std::string_view model, TimePoint now) const;
+    std::size_t load_limit(std::string_view model, const RunnerTable& runners,
+                           TimePoint now) const;
 
     Micros m_bound;
     std::map<std::string, WeightsHistory, std::less<>> m_models;
     OpenOrders m_open;            ///< By runner.
     std::vector<Loaded> m_loaded; ///< In the order in which they ended.
-    std::map<RunnerModel, Again> m_again;
+    std::map<RunnerModel, Retry> m_retries;
 };
 
 } // namespace crosslink
--- a/src/libcrosslink/kept/block_key.cpp
+++ b/src/libcrosslink/kept/block_key.cpp
@@ -39,11 +39,11 @@
     Digest previous = chain_start(secret, owner);
     std::vector<Digest> keys;
     keys.reserve(prompt.size() / block_text_bytes);
-    std::string link;
+    std::string input;
     while (prompt.size() >= block_text_bytes) {
-        link.assign(as_view(previous));
-        link += prompt.substr(0, block_text_bytes);
-        previous = hmac_sha256(as_view(secret), link);
+        input.assign(as_view(previous));
+        input += prompt.substr(0, block_text_bytes);
+        previous = hmac_sha256(as_view(secret), input);
         keys.push_back(previous);
         prompt.remove_prefix(block_text_bytes);
     }
--- a/src/libcrosslink/kept/fetch_delay_tracker.cpp
+++ b/src/libcrosslink/kept/fetch_delay_tracker.cpp
@@ -20,30 +20,30 @@
 /// computed instead delays all others at its runner. With 80 ms for all calls,
 /// calls with objectives of 1.2 s recomputed 4 M stored tokens a day; with a
 /// third of the objective, a quarter less (docs/DECISIONS.md, "slow stores").
-constexpr double bearable_part = 1.0 / 3;
+constexpr double tolerable_fraction = 1.0 / 3;
 /// Additional milliseconds by which a fetch may be late for each token of its
 /// part: about twice the time in which a runner computes the token.
-constexpr double worth_ms_per_token = 0.04;
+constexpr double tolerable_ms_per_token = 0.04;
 /// A store from which events come later by this many milliseconds than from the
 /// best one is saved to only where no other store has free capacity: saves
 /// would delay its fetches even more.
 constexpr double slow_ms = 250;
 /// Minimum fraction of the calls that still fetch from a slow store, so that
 /// its recovery is noticed.
-constexpr double least_part = 0.1;
+constexpr double min_fetch_fraction = 0.1;
 /// Lifetime of a sample. Older samples are ignored, and the delay decays
 /// linearly to 0 until then. It is this long because an instance has few
 /// samples of each store.
-constexpr Micros sample_holds = std::chrono::seconds(3);
+constexpr Micros sample_lifetime = std::chrono::seconds(3);
 /// A fleet-wide delay up to this age takes precedence over newer own samples.
 /// It is some exchanges old at most unless this instance is cut off; then newer
 /// own samples take precedence.
-constexpr Micros told_holds = std::chrono::milliseconds(1000);
+constexpr Micros fleet_delay_lifetime = std::chrono::milliseconds(1000);
 
 /// A path that is slower than the best one of its zone by less than this many
 /// milliseconds is not reported, since the difference has no effect. Reports on
 /// 39 paths took a third of each exchange, and instances have 0.12 cores.
-constexpr double told_ms = 50;
+constexpr double report_threshold_ms = 50;
 
 double
 millis(Micros span)
@@ -54,9 +54,9 @@
 /// Returns the delay `late_ms` of a sample of the given age, decayed over the
 /// lifetime of samples.
 double
-faded(double late_ms, Micros age)
+decayed(double late_ms, Micros age)
 {
-    return late_ms * (1 - seconds(age) / seconds(sample_holds));
+    return late_ms * (1 - seconds(age) / seconds(sample_lifetime));
 }
 
 } // namespace
@@ -64,7 +64,7 @@
 void
 FetchDelayTracker::sent(const FetchPath& path, TimePoint expected)
 {
-    m_paths[path].open.insert(expected);
+    m_paths[path].pending.insert(expected);
 }
 
 void
@@ -73,9 +73,9 @@
     const auto found = m_paths.find(path);
     if (found == m_paths.end())
         return;
-    std::multiset<TimePoint>& open = found->second.open;
-    if (const auto call = open.find(expected); call != open.end())
-        open.erase(call);
+    std::multiset<TimePoint>& pending = found->second.pending;
+    if (const auto call = pending.find(expected); call != pending.end())
+        pending.erase(call);
 }
 
 void
@@ -96,32 +96,32 @@
 
 /// Adds `calls` samples with a mean delay of `late_ms`.
 void
-FetchDelayTracker::add_samples(Seen& seen, std::uint32_t calls, double late_ms,
-                               TimePoint now)
+FetchDelayTracker::add_samples(PathStats& stats, std::uint32_t calls,
+                               double late_ms, TimePoint now)
 {
     const double weight = 1 - std::pow(1 - sample_weight, calls);
-    if (is_known(seen, now))
-        seen.late_ms += weight * (late_ms - seen.late_ms);
+    if (is_known(stats, now))
+        stats.late_ms += weight * (late_ms - stats.late_ms);
     else
-        seen.late_ms = late_ms;
-    seen.known = true;
-    seen.at = now;
-    FetchSamples& untold = seen.untold;
-    const double before = untold.late_ms * untold.calls;
-    untold.calls += calls;
-    untold.late_ms = (before + late_ms * calls) / untold.calls;
+        stats.late_ms = late_ms;
+    stats.known = true;
+    stats.at = now;
+    FetchSamples& unreported = stats.unreported;
+    const double before = unreported.late_ms * unreported.calls;
+    unreported.calls += calls;
+    unreported.late_ms = (before + late_ms * calls) / unreported.calls;
 }
 
 std::vector<FetchSamples>
 FetchDelayTracker::take_unreported()
 {
     std::vector<FetchSamples> result;
-    for (auto& [path, seen] : m_paths) {
-        if (seen.untold.calls == 0)
+    for (auto& [path, stats] : m_paths) {
+        if (stats.unreported.calls == 0)
             continue;
-        seen.untold.path = path;
-        result.push_back(seen.untold);
-        seen.untold = {};
+        stats.unreported.path = path;
+        result.push_back(stats.unreported);
+        stats.unreported = {};
     }
     return result;
 }
@@ -129,32 +129,33 @@
 std::vector<FetchDelay>
 FetchDelayTracker::delays(TimePoint now) const
 {
-    std::vector<FetchDelay> all = known_lateness(now);
-    std::map<std::string_view, double> least;
+    std::vector<FetchDelay> all = known_delays(now);
+    std::map<std::string_view, double> lowest;
     for (const FetchDelay& item : all) {
-        const auto place =
-            least.try_emplace(item.path.zone, item.late_ms).first;
-        place->second = std::min(place->second, item.late_ms);
+        const auto entry =
+            lowest.try_emplace(item.path.zone, item.late_ms).first;
+        entry->second = std::min(entry->second, item.late_ms);
     }
-    std::vector<FetchDelay> worth_telling;
+    std::vector<FetchDelay> reported;
     for (const FetchDelay& item : all) {
-        const double best = least[item.path.zone];
-        if (item.late_ms <= best || item.late_ms > best + told_ms)
-            worth_telling.push_back(item);
+        const double best = lowest[item.path.zone];
+        if (item.late_ms <= best || item.late_ms > best + report_threshold_ms)
+            reported.push_back(item);
     }
-    return worth_telling;
+    return reported;
 }
 
 /// Returns the delays of all paths with samples that are still valid.
 std::vector<FetchDelay>
-FetchDelayTracker::known_lateness(TimePoint now) const
+FetchDelayTracker::known_delays(TimePoint now) const
 {
     std::vector<FetchDelay> result;
-    for (const auto& [path, seen] : m_paths) {
-        if (is_told(seen, now))
-            result.push_back({path, seen.told_late_ms, now - *seen.told_at});
-        else if (is_known(seen, now))
-            result.push_back({path, seen.late_ms, now - seen.at});
+    for (const auto& [path, stats] : m_paths) {
+        if (uses_fleet_delay(stats, now))
+            result.push_back(
+                {path, stats.fleet_late_ms, now - *stats.fleet_at});
+        else if (is_known(stats, now))
+            result.push_back({path, stats.late_ms, now - stats.at});
     }
     return result;
 }
@@ -162,58 +163,60 @@
 void
 FetchDelayTracker::set_fleet_delay(const FetchDelay& fleet, TimePoint now)
 {
-    Seen& seen = m_paths[fleet.path];
-    seen.told_late_ms = fleet.late_ms;
-    seen.told_at = now - fleet.age;
+    PathStats& stats = m_paths[fleet.path];
+    stats.fleet_late_ms = fleet.late_ms;
+    stats.fleet_at = now - fleet.age;
 }
 
 bool
-FetchDelayTracker::is_known(const Seen& seen, TimePoint now)
+FetchDelayTracker::is_known(const PathStats& stats, TimePoint now)
 {
-    return is_told(seen, now) || (seen.known && now - seen.at <= sample_holds);
+    return uses_fleet_delay(stats, now) ||
+           (stats.known && now - stats.at <= sample_lifetime);
 }
 
 /// Returns whether the fleet-wide delay takes precedence over own samples.
 bool
-FetchDelayTracker::is_told(const Seen& seen, TimePoint now)
+FetchDelayTracker::uses_fleet_delay(const PathStats& stats, TimePoint now)
 {
-    if (!seen.told_at || now - *seen.told_at > sample_holds)
+    if (!stats.fleet_at || now - *stats.fleet_at > sample_lifetime)
         return false;
-    return now - *seen.told_at <= told_holds || seen.at < *seen.told_at;
+    return now - *stats.fleet_at <= fleet_delay_lifetime ||
+           stats.at < *stats.fleet_at;
 }
 
 /// Returns the current delay: that of past events or, where no event has come
 /// since the earliest pending one was expected, the time since then if it is
 /// longer.
 double
-FetchDelayTracker::late_ms(const Seen& seen, TimePoint now)
+FetchDelayTracker::late_ms(const PathStats& stats, TimePoint now)
 {
     double late = 0;
-    if (is_told(seen, now))
-        late = faded(seen.told_late_ms, now - *seen.told_at);
-    else if (is_known(seen, now))
-        late = faded(seen.late_ms, now - seen.at);
-    if (!seen.open.empty() && *seen.open.begin() > seen.at)
-        late = std::max(late, millis(now - *seen.open.begin()));
+    if (uses_fleet_delay(stats, now))
+        late = decayed(stats.fleet_late_ms, now - *stats.fleet_at);
+    else if (is_known(stats, now))
+        late = decayed(stats.late_ms, now - stats.at);
+    if (!stats.pending.empty() && *stats.pending.begin() > stats.at)
+        late = std::max(late, millis(now - *stats.pending.begin()));
     return late;
 }
 
 double
-FetchDelayTracker::later_ms(const FetchPath& path, TimePoint now) const
+FetchDelayTracker::excess_ms(const FetchPath& path, TimePoint now) const
 {
     const auto own = m_paths.find(path);
     if (own == m_paths.end())
         return 0;
-    std::optional<double> least_late;
-    for (const auto& [other, seen] : m_paths)
+    std::optional<double> lowest;
+    for (const auto& [other, stats] : m_paths)
         if (other.zone == path.zone && other.store != path.store &&
-            is_known(seen, now)) {
-            const double late = late_ms(seen, now);
-            least_late = std::min(least_late.value_or(late), late);
+            is_known(stats, now)) {
+            const double late = late_ms(stats, now);
+            lowest = std::min(lowest.value_or(late), late);
         }
-    if (!least_late)
+    if (!lowest)
         return 0;
-    return late_ms(own->second, now) - std::max(*least_late, 0.0);
+    return late_ms(own->second, now) - std::max(*lowest, 0.0);
 }
 
 bool
@@ -221,24 +224,24 @@
                                 Micros objective, std::uint64_t random,
                                 TimePoint now) const
 {
-    const double later = later_ms(path, now);
-    const double allowed =
-        bearable_part * millis(objective) + worth_ms_per_token * tokens;
-    if (later <= allowed)
+    const double excess = excess_ms(path, now);
+    const double allowed = tolerable_fraction * millis(objective) +
+                           tolerable_ms_per_token * tokens;
+    if (excess <= allowed)
         return true;
     // Falls to the minimum where the delay is twice what is allowed, so that
     // the queue of the store stays short.
-    const double part = std::max(least_part, 2 - later / allowed);
+    const double fraction = std::max(min_fetch_fraction, 2 - excess / allowed);
     constexpr std::uint64_t steps = 1000;
-    return static_cast<double>(random % steps) < part * steps;
+    return static_cast<double>(random % steps) < fraction * steps;
 }
 
 std::set<std::string, std::less<>>
 FetchDelayTracker::slow_stores(TimePoint now) const
 {
     std::set<std::string, std::less<>> slow;
-    for (const auto& [path, seen] : m_paths)
-        if (later_ms(path, now) > slow_ms)
+    for (const auto& [path, stats] : m_paths)
+        if (excess_ms(path, now) > slow_ms)
             slow.insert(path.store);
     return slow;
 }
@@ -260,7 +263,7 @@
             slow || (fetches && !should_fetch({place.store, std::string(zone)},
                                               tokens, objective, random, now));
         if (fetches && slow)
-            place = KeptPlace::read(KeptPlace::Reason::SlowStore);
+            place = KeptPlace::compute(KeptPlace::Reason::SlowStore);
         tokens -= parts[i].tokens;
     }
 }
--- a/src/libcrosslink/kept/kept_asking.cpp
+++ b/src/libcrosslink/kept/kept_asking.cpp
@@ -16,7 +16,7 @@
 
 /// A new holder of the duty assigns no saves before it has listed all stores or
 /// this time has passed, in which it finds out which of them are unreachable.
-constexpr Micros learning_time = std::chrono::milliseconds(1500);
+constexpr Micros discovery_time = std::chrono::milliseconds(1500);
 /// A save usually ends within this time; it takes 0.2 to 1 s. No save is made
 /// where the caller leaves or the runner changes its weights first.
 constexpr Micros usual_save_time = std::chrono::milliseconds(1500);
@@ -27,7 +27,7 @@
 bool
 KeptDirectory::knows_stores(TimePoint now) const
 {
-    return now > m_began + learning_time || m_room.all_told();
+    return now > m_started + discovery_time || m_capacity.all_reported();
 }
 
 KeptPlace
@@ -35,13 +35,13 @@
 {
     using Reason = KeptPlace::Reason;
     if (entry.state == State::Saving)
-        return KeptPlace::read(Reason::BeingSaved);
-    if (entry.state == State::LetGo)
-        return KeptPlace::read(Reason::BeingFreed);
-    if (!m_room.is_reachable(entry.store))
-        return KeptPlace::read(Reason::StoreUnreachable);
+        return KeptPlace::compute(Reason::BeingSaved);
+    if (entry.state == State::Evicted)
+        return KeptPlace::compute(Reason::BeingFreed);
+    if (!m_capacity.is_reachable(entry.store))
+        return KeptPlace::compute(Reason::StoreUnreachable);
     if (!m_clock.is_known())
-        return KeptPlace::read(Reason::Unknown);
+        return KeptPlace::compute(Reason::Unknown);
     KeptPlace place;
     place.kind = KeptPlace::Kind::Fetch;
     place.store = entry.store;
@@ -59,7 +59,7 @@
     for (const std::uint64_t term : m_terms) {
         space.term = term;
         const auto found = m_parts.find({space.text(), last.id});
-        if (found != m_parts.end() && found->second.state == State::Held)
+        if (found != m_parts.end() && found->second.state == State::Stored)
             return space;
     }
     space.term = m_term;
@@ -76,42 +76,42 @@
         return answer;
     answer.space = space_of(space, parts.back()).text();
     for (const PromptPart& part : parts) {
-        const bool forerunner = &part != &parts.back();
-        answer.places.push_back(ask_part({answer.space, part.id, part.tokens},
-                                         forerunner, longest, now));
+        const bool leading = &part != &parts.back();
+        answer.places.push_back(answer_for({answer.space, part.id, part.tokens},
+                                           leading, longest, now));
     }
     return answer;
 }
 
 KeptPlace
-KeptDirectory::ask_part(const KeptPart& part, bool forerunner, Micros longest,
-                        TimePoint now)
+KeptDirectory::answer_for(const KeptPart& part, bool leading, Micros longest,
+                          TimePoint now)
 {
     const KeptKey key{part.space, part.id};
     const auto found = m_parts.find(key);
     Entry* const known = found == m_parts.end() ? nullptr : &found->second;
     if (known)
-        known->asked = now;
+        known->requested = now;
     if (known && !should_move(*known, now))
         return place_of(*known, now);
     const auto unless_known = [&](KeptPlace::Reason reason) {
-        return known ? place_of(*known, now) : KeptPlace::read(reason);
+        return known ? place_of(*known, now) : KeptPlace::compute(reason);
     };
     if (!is_own(part.space))
         return unless_known(KeptPlace::Reason::OtherTerm);
     // It may be in a store that is not listed yet.
     if (!knows_stores(now))
-        return KeptPlace::read(KeptPlace::Reason::Unknown);
-    const std::string store = m_room.place_for(
-        KeptRoom::room_of(part.tokens), forerunner,
+        return KeptPlace::compute(KeptPlace::Reason::Unknown);
+    const std::string store = m_capacity.select_store(
+        StoreCapacity::capacity_of(part.tokens), leading,
         [&](const std::string& other) { return may_have(other, key); }, now);
     if (store.empty())
-        return unless_known(m_room.is_full()
+        return unless_known(m_capacity.is_full()
                                 ? KeptPlace::Reason::NoRoom
                                 : KeptPlace::Reason::StoreUnreachable);
     if (known)
-        move_away(key, *known, now);
-    return place_part(key, store, part.tokens, longest, now);
+        make_stale(key, *known, now);
+    return assign_save(key, store, part.tokens, longest, now);
 }
 
 /// Returns whether a store has the part, may have it or may still get it.
@@ -120,28 +120,28 @@
 {
     const auto entry = m_parts.find(key);
     return (entry != m_parts.end() && entry->second.store == store) ||
-           m_leftovers.contains(store, key);
+           m_stale_parts.contains(store, key);
 }
 
 /// Makes a part stale in its store, so that it can be saved to another one.
 void
-KeptDirectory::move_away(const KeptKey& key, Entry& entry, TimePoint now)
+KeptDirectory::make_stale(const KeptKey& key, Entry& entry, TimePoint now)
 {
-    m_leftovers.add(entry.store, key, entry.tokens,
-                    std::max(entry.due, told_until(now)));
+    m_stale_parts.add(entry.store, key, entry.tokens,
+                      std::max(entry.due, answer_expiry(now)));
     entry.state = State::Saving;
-    note(key, entry);
+    record_change(key, entry);
 }
 
 /// Assigns the save of a part to one call.
 KeptPlace
-KeptDirectory::place_part(const KeptKey& key, const std::string& store,
-                          std::uint32_t tokens, Micros longest, TimePoint now)
+KeptDirectory::assign_save(const KeptKey& key, const std::string& store,
+                           std::uint32_t tokens, Micros longest, TimePoint now)
 {
     Entry entry;
     occupy(entry, store, tokens);
-    entry.asked = now;
-    entry.placed = now;
+    entry.requested = now;
+    entry.assigned = now;
     entry.due = now + longest;
     m_parts[key] = entry;
     KeptPlace place;
@@ -156,9 +156,9 @@
 KeptDirectory::should_move(const Entry& entry, TimePoint now) const
 {
     if (entry.state == State::Saving)
-        return now >= entry.placed + usual_save_time;
-    return entry.state == State::Held && m_room.contains(entry.store) &&
-           !m_room.is_reachable(entry.store);
+        return now >= entry.assigned + usual_save_time;
+    return entry.state == State::Stored && m_capacity.contains(entry.store) &&
+           !m_capacity.is_reachable(entry.store);
 }
 
 void
@@ -168,7 +168,7 @@
     const auto entry = m_parts.find(key);
     // Where the part was moved, it is not known whose save did not run.
     if (entry != m_parts.end() && entry->second.state == State::Saving &&
-        !m_leftovers.contains(key))
+        !m_stale_parts.contains(key))
         drop(entry);
 }
 
--- a/src/libcrosslink/kept/kept_directory.cpp
+++ b/src/libcrosslink/kept/kept_directory.cpp
@@ -17,13 +17,13 @@
 constexpr Micros clock_slack = std::chrono::milliseconds(500);
 /// Minimum time between listings of a store for saves or frees that are
 /// overdue.
-constexpr Micros listing_pause = std::chrono::seconds(3);
+constexpr Micros listing_interval = std::chrono::seconds(3);
 
 } // namespace
 
 /// Returns when an answer given at `now` has expired.
 TimePoint
-KeptDirectory::told_until(TimePoint now)
+KeptDirectory::answer_expiry(TimePoint now)
 {
     return now + kept_answer_time + clock_slack;
 }
@@ -31,45 +31,46 @@
 void
 KeptDirectory::set_stores(std::span<const KeptStoreInfo> stores)
 {
-    m_room.set_stores(stores);
+    m_capacity.set_stores(stores);
     for (auto entry = m_parts.begin(); entry != m_parts.end();) {
         const auto following = std::next(entry);
-        if (!m_room.contains(entry->second.store))
+        if (!m_capacity.contains(entry->second.store))
             drop(entry);
         entry = following;
     }
-    m_leftovers.forget_stores(
-        [this](const std::string& store) { return !m_room.contains(store); });
+    m_stale_parts.remove_stores([this](const std::string& store) {
+        return !m_capacity.contains(store);
+    });
 }
 
 void
 KeptDirectory::begin(std::uint64_t term, TimePoint now)
 {
-    m_began = now;
-    m_silent_from = now + kept_grace_time;
+    m_started = now;
+    m_earlier_stopped = now + kept_grace_time;
     m_history = {};
     m_parts.clear();
-    m_leftovers.clear();
+    m_stale_parts.clear();
     m_term = term;
     m_terms = {term};
     m_clock = {};
-    m_room.clear();
+    m_capacity.clear();
 }
 
 /// Removes the parts of a store that restarted empty.
 void
-KeptDirectory::forget_parts(std::string_view store)
+KeptDirectory::remove_parts(std::string_view store)
 {
     for (auto entry = m_parts.begin(); entry != m_parts.end();) {
         const auto next = std::next(entry);
         if (entry->second.store == store) {
             entry->second.store.clear();
-            note(entry->first, entry->second);
+            record_change(entry->first, entry->second);
             m_parts.erase(entry);
         }
         entry = next;
     }
-    m_leftovers.forget_stores(
+    m_stale_parts.remove_stores(
         [store](const std::string& other) { return other == store; });
 }
 
@@ -79,14 +80,14 @@
                       std::uint32_t tokens)
 {
     entry.store = store;
-    entry.tokens = KeptRoom::room_of(tokens);
-    m_room.take(store, entry.tokens);
+    entry.tokens = StoreCapacity::capacity_of(tokens);
+    m_capacity.add_used(store, entry.tokens);
 }
 
 /// Records that a store has a complete part.
 void
-KeptDirectory::hold(const std::string& store, const KeptPart& part,
-                    TimePoint now)
+KeptDirectory::mark_stored(const std::string& store, const KeptPart& part,
+                           TimePoint now)
 {
     const auto space = KeptSpace::parse(part.space);
     // A later holder of the duty had it saved, and frees it without notice to
@@ -96,26 +97,27 @@
     const auto [place, added] = m_parts.try_emplace({part.space, part.id});
     Entry& entry = place->second;
     // A part that is evicted, or that is in another store, stays unchanged.
-    if (!added && (entry.state == State::LetGo || entry.store != store))
+    if (!added && (entry.state == State::Evicted || entry.store != store))
         return;
     if (added) {
         if (space)
             m_terms.insert(space->term);
-        entry.asked = now;
+        entry.requested = now;
         occupy(entry, store, part.tokens);
     }
-    if (entry.state != State::Held) {
-        entry.state = State::Held;
-        note(place->first, entry);
+    if (entry.state != State::Stored) {
+        entry.state = State::Stored;
+        record_change(place->first, entry);
     }
 }
 
 /// Adds the state of a part to the history of changes.
 void
-KeptDirectory::note(const KeptKey& key, const Entry& entry)
+KeptDirectory::record_change(const KeptKey& key, const Entry& entry)
 {
-    const bool told = entry.state == State::Held;
-    m_history.add({key.first, key.second, told ? entry.store : std::string()});
+    const bool is_stored = entry.state == State::Stored;
+    m_history.add(
+        {key.first, key.second, is_stored ? entry.store : std::string()});
 }
 
 KeptUpdate
@@ -135,7 +137,7 @@
     }
     update.is_snapshot = true;
     for (const auto& [key, entry] : m_parts)
-        if (entry.state == State::Held)
+        if (entry.state == State::Stored)
             update.entries.push_back({key.first, key.second, entry.store});
     return update;
 }
@@ -143,21 +145,21 @@
 void
 KeptDirectory::drop(Parts::iterator entry)
 {
-    m_room.give_back(entry->second.store, entry->second.tokens);
-    if (entry->second.state == State::Held) {
-        entry->second.state = State::LetGo;
-        note(entry->first, entry->second);
+    m_capacity.release(entry->second.store, entry->second.tokens);
+    if (entry->second.state == State::Stored) {
+        entry->second.state = State::Evicted;
+        record_change(entry->first, entry->second);
     }
     m_parts.erase(entry);
 }
 
 void
-KeptDirectory::let_go(const KeptKey& key, Entry& entry, TimePoint now)
+KeptDirectory::evict(const KeptKey& key, Entry& entry, TimePoint now)
 {
-    entry.state = State::LetGo;
-    note(key, entry);
-    entry.due = told_until(now);
-    entry.told_free = false;
+    entry.state = State::Evicted;
+    record_change(key, entry);
+    entry.due = answer_expiry(now);
+    entry.free_requested = false;
 }
 
 /// Returns whether `space` has the term of this holder: parts are saved only
@@ -176,38 +178,38 @@
 {
     if (now < due)
         return false;
-    return is_own(key.first) || now >= told_until(m_silent_from);
+    return is_own(key.first) || now >= answer_expiry(m_earlier_stopped);
 }
 
 void
 KeptDirectory::earlier_holders_stopped(TimePoint now)
 {
-    m_silent_from = std::min(m_silent_from, std::max(now, m_began));
+    m_earlier_stopped = std::min(m_earlier_stopped, std::max(now, m_started));
 }
 
 void
 KeptDirectory::apply_listing(std::string_view store, const KeptListing& listing,
                              TimePoint now)
 {
-    if (!m_room.contains(store))
+    if (!m_capacity.contains(store))
         return;
     const std::string address(store);
-    if (m_room.take_boot(address, listing.boot, told_until(now)))
-        forget_parts(address);
+    if (m_capacity.update_boot(address, listing.boot, answer_expiry(now)))
+        remove_parts(address);
     m_clock.advance(listing.clock, now);
-    m_room.listed(address, now);
-    take_whole(address, listing.whole, now);
-    take_broken(address, listing.broken, now);
+    m_capacity.set_listed(address, now);
+    apply_complete(address, listing.whole, now);
+    apply_incomplete(address, listing.broken, now);
     drop_missing(address, listing, now);
 }
 
 /// Applies the parts that a store lists as complete.
 void
-KeptDirectory::take_whole(const std::string& store,
-                          std::span<const KeptPart> parts, TimePoint now)
+KeptDirectory::apply_complete(const std::string& store,
+                              std::span<const KeptPart> parts, TimePoint now)
 {
     for (const KeptPart& part : parts) {
-        hold(store, part, now);
+        mark_stored(store, part, now);
         const auto known = m_parts.find({part.space, part.id});
         if (known == m_parts.end())
             continue;
@@ -215,22 +217,22 @@
         // It was saved twice: for two holders of the duty, or for one that
         // moved it to another store.
         if (entry.store != store &&
-            !m_leftovers.contains(store, known->first)) {
-            const std::uint32_t room = KeptRoom::room_of(part.tokens);
-            m_room.take(store, room);
-            m_leftovers.add(store, known->first, room, told_until(now));
+            !m_stale_parts.contains(store, known->first)) {
+            const std::uint32_t used = StoreCapacity::capacity_of(part.tokens);
+            m_capacity.add_used(store, used);
+            m_stale_parts.add(store, known->first, used, answer_expiry(now));
         }
         // The store still has it long after it was asked to free it.
-        if (entry.told_free && now >= entry.due + listing_pause)
-            entry.told_free = false;
+        if (entry.free_requested && now >= entry.due + listing_interval)
+            entry.free_requested = false;
     }
 }
 
 /// Evicts the parts that a store lists as incomplete, except those whose call
 /// may still be writing.
 void
-KeptDirectory::take_broken(const std::string& store,
-                           std::span<const KeptPart> parts, TimePoint now)
+KeptDirectory::apply_incomplete(const std::string& store,
+                                std::span<const KeptPart> parts, TimePoint now)
 {
     for (const KeptPart& part : parts) {
         const auto [place, added] = m_parts.try_emplace({part.space, part.id});
@@ -238,8 +240,8 @@
         if (added)
             occupy(entry, store, part.tokens);
         const bool ended = added || now >= entry.due;
-        if (entry.store == store && entry.state != State::LetGo && ended)
-            let_go(place->first, entry, now);
+        if (entry.store == store && entry.state != State::Evicted && ended)
+            evict(place->first, entry, now);
     }
 }
 
@@ -249,17 +251,17 @@
 KeptDirectory::drop_missing(const std::string& store,
                             const KeptListing& listing, TimePoint now)
 {
-    std::set<KeptKey> there;
+    std::set<KeptKey> listed_keys;
     for (const KeptPart& part : listing.whole)
-        there.insert({part.space, part.id});
+        listed_keys.insert({part.space, part.id});
     for (const KeptPart& part : listing.broken)
-        there.insert({part.space, part.id});
+        listed_keys.insert({part.space, part.id});
     for (auto entry = m_parts.begin(); entry != m_parts.end();) {
         const auto next = std::next(entry);
         const bool here = entry->second.store == store;
-        const bool may_be_under_way =
+        const bool may_be_writing =
             entry->second.state == State::Saving && now < entry->second.due;
-        if (here && !may_be_under_way && !there.contains(entry->first))
+        if (here && !may_be_writing && !listed_keys.contains(entry->first))
             drop(entry);
         entry = next;
     }
@@ -269,16 +271,16 @@
 KeptDirectory::apply_changes(std::string_view store, const KeptChanges& changes,
                              TimePoint now)
 {
-    if (!m_room.contains(store))
+    if (!m_capacity.contains(store))
         return true;
-    if (changes.boot != m_room.boot(store) || changes.lost)
+    if (changes.boot != m_capacity.boot(store) || changes.lost)
         return false;
     const std::string address(store);
     m_clock.advance(changes.clock, now);
-    m_room.set_reachable(address, true);
+    m_capacity.set_reachable(address, true);
     for (const KeptChange& change : changes.changes) {
         if (change.stored) {
-            hold(address, change.part, now);
+            mark_stored(address, change.part, now);
             continue;
         }
         const auto entry = m_parts.find({change.part.space, change.part.id});
@@ -292,21 +294,22 @@
 void
 KeptDirectory::unreachable(std::string_view store)
 {
-    m_room.set_reachable(store, false);
+    m_capacity.set_reachable(store, false);
 }
 
 bool
 KeptDirectory::wants_listing(std::string_view store, TimePoint now) const
 {
-    const auto listed_at = m_room.listed_at(store);
-    if (!listed_at || now < *listed_at + listing_pause)
+    const auto listed_at = m_capacity.listed_at(store);
+    if (!listed_at || now < *listed_at + listing_interval)
         return false;
     return std::any_of(m_parts.begin(), m_parts.end(), [&](const auto& item) {
         const Entry& entry = item.second;
         const bool overdue = entry.state == State::Saving && now >= entry.due;
         // The store does not repeat the event of a free that was lost.
-        const bool unfreed = entry.state == State::LetGo && entry.told_free &&
-                             now >= entry.due + listing_pause;
+        const bool unfreed = entry.state == State::Evicted &&
+                             entry.free_requested &&
+                             now >= entry.due + listing_interval;
         return entry.store == store && (overdue || unfreed);
     });
 }
--- a/src/libcrosslink/kept/kept_directory_test.cpp
+++ b/src/libcrosslink/kept/kept_directory_test.cpp
@@ -81,12 +81,12 @@
 /// Has a part saved at 0 ms and reported as complete at 100 ms. Returns the
 /// answer to the call that saves it.
 KeptAnswer
-keep(KeptDirectory& directory, const std::string& id)
+save_part(KeptDirectory& directory, const std::string& id)
 {
-    KeptAnswer told = ask(directory, id, 0);
-    directory.apply_changes(told.places[0].store, stored(told.space, id, 1100),
-                            at(100));
-    return told;
+    KeptAnswer answer = ask(directory, id, 0);
+    directory.apply_changes(answer.places[0].store,
+                            stored(answer.space, id, 1100), at(100));
+    return answer;
 }
 
 const auto never = [](const KeptSpace&) { return false; };
@@ -137,7 +137,7 @@
 TEST_CASE("parts of other weights and of isolated accounts are never shared")
 {
     KeptDirectory directory = directory_with_stores();
-    const KeptAnswer first = keep(directory, "p");
+    const KeptAnswer first = save_part(directory, "p");
     CHECK(ask(directory, "p", 110, space(2)).places[0].kind !=
           KeptPlace::Kind::Fetch);
     CHECK(ask(directory, "p", 110, space(1, "alone")).places[0].kind !=
@@ -147,9 +147,9 @@
 TEST_CASE("a part is freed only after all answers have expired")
 {
     KeptDirectory directory = directory_with_stores();
-    const KeptAnswer first = keep(directory, "p");
-    const KeptAnswer told = ask(directory, "p", 200);
-    REQUIRE(told.places[0].kind == KeptPlace::Kind::Fetch);
+    const KeptAnswer first = save_part(directory, "p");
+    const KeptAnswer answer = ask(directory, "p", 200);
+    REQUIRE(answer.places[0].kind == KeptPlace::Kind::Fetch);
     const auto all = [](const KeptSpace&) { return true; };
     CHECK(directory.take_due_frees(all, 1, at(200)).empty());
     CHECK(ask(directory, "p", 210).places[0].kind == KeptPlace::Kind::None);
@@ -191,7 +191,7 @@
 TEST_CASE("a copy says what the directory says, for as long as it holds")
 {
     KeptDirectory directory = directory_with_stores();
-    const KeptAnswer first = keep(directory, "p");
+    const KeptAnswer first = save_part(directory, "p");
     KeptReplica replica;
     replica.take(directory.update_since(0, 0, at(200)), at(200));
     const std::vector<PromptPart> parts{{"p", 160}};
@@ -211,7 +211,7 @@
 TEST_CASE("a copy forgets the parts of a store that is taken away")
 {
     KeptDirectory directory = directory_with_stores();
-    const KeptAnswer first = keep(directory, "p");
+    const KeptAnswer first = save_part(directory, "p");
     KeptReplica replica;
     replica.take(directory.update_since(0, 0, at(200)), at(200));
     directory.set_stores({});
@@ -227,10 +227,10 @@
 /// Simulates stores, with calls that save to and fetch from them, for the
 /// random runs below. Fails where a part is saved twice to a store, or freed
 /// during a fetch or a save.
-class World
+class StoreSimulation
 {
 public:
-    explicit World(KeptDirectory& directory) { add(directory); }
+    explicit StoreSimulation(KeptDirectory& directory) { add(directory); }
 
     /// Adds the directory of another instance, to which the stores report their
     /// changes too.
@@ -251,7 +251,7 @@
         }
     }
 
-    void advance(std::int64_t now, bool tell)
+    void advance(std::int64_t now, bool report)
     {
         for (auto item = m_writing.begin(); item != m_writing.end();) {
             if (now < item->second) {
@@ -261,7 +261,7 @@
             const auto& [where, text, id] = item->first;
             m_whole.insert(item->first);
             for (KeptDirectory* directory : m_directories)
-                if (tell)
+                if (report)
                     directory->apply_changes(
                         where, stored(text, id, clock(now)), at(now));
             item = m_writing.erase(item);
@@ -415,7 +415,7 @@
 TEST_CASE("a part whose store is unreachable is saved to another one")
 {
     KeptDirectory directory = directory_with_stores();
-    const KeptAnswer first = keep(directory, "p");
+    const KeptAnswer first = save_part(directory, "p");
     directory.unreachable(first.places[0].store);
     const KeptAnswer again = ask(directory, "p", 500);
     CHECK(again.places[0].kind == KeptPlace::Kind::Save);
@@ -434,7 +434,7 @@
 TEST_CASE("stores that are not listed yet are not full")
 {
     KeptDirectory directory = directory_with_stores();
-    const KeptAnswer first = keep(directory, "p");
+    const KeptAnswer first = save_part(directory, "p");
     directory.unreachable(fast);
     directory.unreachable(big);
     const KeptPlace place = ask(directory, "q", 30'000).places[0];
@@ -448,24 +448,24 @@
 {
     CHECK(rc::check("no fetch of an incomplete part", [] {
         KeptDirectory directory = directory_with_stores();
-        World world(directory);
+        StoreSimulation simulation(directory);
         std::int64_t now = 0;
         const auto steps = *rc::gen::inRange(1, 200);
         for (int i = 0; i < steps; ++i) {
             now += *rc::gen::inRange<std::int64_t>(1, 1500);
-            world.advance(now, *rc::gen::inRange(0, 4) > 0);
+            simulation.advance(now, *rc::gen::inRange(0, 4) > 0);
             const auto id = std::to_string(*rc::gen::inRange(0, 150));
             switch (*rc::gen::inRange(0, 8)) {
             case 0:
-                world.free_due(directory, now);
+                simulation.free_due(directory, now);
                 break;
             case 1:
-                world.list(directory, fast, now);
-                world.list(directory, big, now);
+                simulation.list(directory, fast, now);
+                simulation.list(directory, big, now);
                 break;
             default:
-                world.call(directory, id, now,
-                           *rc::gen::inRange<std::int64_t>(1, 3900));
+                simulation.call(directory, id, now,
+                                *rc::gen::inRange<std::int64_t>(1, 3900));
             }
         }
     }));
@@ -475,7 +475,7 @@
 {
     CHECK(rc::check("no fetch of a part that another holder frees", [] {
         KeptDirectory earlier = directory_with_stores(7);
-        World world(earlier);
+        StoreSimulation simulation(earlier);
         KeptDirectory next;
         std::int64_t now = 0;
         const auto take_over = *rc::gen::inRange<std::int64_t>(2000, 20'000);
@@ -490,7 +490,7 @@
         bool silent = false;
         while (now < end + 12'000) {
             now += *rc::gen::inRange<std::int64_t>(1, 700);
-            world.advance(now, *rc::gen::inRange(0, 4) > 0);
+            simulation.advance(now, *rc::gen::inRange(0, 4) > 0);
             if (!taken && now >= take_over) {
                 taken = true;
                 const std::vector<KeptStoreInfo> stores{
@@ -498,9 +498,9 @@
                     managed_store(big, 16'000, 10)};
                 next.set_stores(stores);
                 next.begin(9, at(now));
-                world.add(next);
-                world.list(next, fast, now);
-                world.list(next, big, now);
+                simulation.add(next);
+                simulation.list(next, fast, now);
+                simulation.list(next, big, now);
             }
             if (taken && stops && !silent && now >= end) {
                 silent = true;
@@ -510,11 +510,11 @@
             const auto length = *rc::gen::inRange<std::int64_t>(1, 3900);
             const bool asks_next = taken && *rc::gen::inRange(0, 2) == 0;
             if (asks_next)
-                world.call(next, id, now, length);
+                simulation.call(next, id, now, length);
             else if (now < end)
-                world.call(earlier, id, now, length);
-            world.free_due(taken ? next : earlier, now,
-                           *rc::gen::inRange(0, 20) == 0);
+                simulation.call(earlier, id, now, length);
+            simulation.free_due(taken ? next : earlier, now,
+                                *rc::gen::inRange(0, 20) == 0);
         }
     }));
 }
--- a/src/libcrosslink/kept/kept_freeing.cpp
+++ b/src/libcrosslink/kept/kept_freeing.cpp
@@ -20,71 +20,71 @@
 
 } // namespace
 
-std::vector<KeptDirectory::Dispensable>
-KeptDirectory::dispensable(TimePoint now)
+std::vector<KeptDirectory::EvictionCandidate>
+KeptDirectory::eviction_candidates(TimePoint now)
 {
     std::map<std::string, std::uint64_t> newest;
-    std::vector<Dispensable> result;
+    std::vector<EvictionCandidate> result;
     for (auto& [key, entry] : m_parts) {
         const auto space = KeptSpace::parse(key.first);
-        if (entry.state != State::Held || !space)
+        if (entry.state != State::Stored || !space)
             continue;
         auto& version = newest[space->model];
         version = std::max(version, space->version);
         result.push_back({space->model, space->version, false, &key, &entry});
     }
-    for (Dispensable& item : result)
+    for (EvictionCandidate& item : result)
         item.replaced = item.version < newest[item.model];
-    std::erase_if(result, [now](const Dispensable& item) {
-        return !item.replaced && now - item.entry->asked <= in_use_time;
+    std::erase_if(result, [now](const EvictionCandidate& item) {
+        return !item.replaced && now - item.entry->requested <= in_use_time;
     });
     // Parts of replaced weights first, then the least recently requested ones.
     std::sort(result.begin(), result.end(),
-              [](const Dispensable& one, const Dispensable& other) {
+              [](const EvictionCandidate& one, const EvictionCandidate& other) {
                   if (one.replaced != other.replaced)
                       return one.replaced;
-                  return one.entry->asked < other.entry->asked;
+                  return one.entry->requested < other.entry->requested;
               });
     return result;
 }
 
 /// Returns the capacity of parts that are evicted and not freed yet.
 std::uint64_t
-KeptDirectory::let_go_tokens() const
+KeptDirectory::evicted_tokens() const
 {
     std::uint64_t tokens = 0;
     for (const auto& [key, entry] : m_parts)
-        if (entry.state == State::LetGo)
+        if (entry.state == State::Evicted)
             tokens += entry.tokens;
     return tokens;
 }
 
 void
-KeptDirectory::make_room(double updated_fraction, TimePoint now)
+KeptDirectory::evict_for_capacity(double updated_fraction, TimePoint now)
 {
-    const bool full = m_room.is_full();
-    if (!full && !m_room.is_low(updated_fraction, let_go_tokens()))
+    const bool full = m_capacity.is_full();
+    if (!full && !m_capacity.below_reserve(updated_fraction, evicted_tokens()))
         return;
-    double wanted = m_room.tokens_to_let_go();
-    for (const Dispensable& item : dispensable(now)) {
+    double wanted = m_capacity.tokens_to_evict();
+    for (const EvictionCandidate& item : eviction_candidates(now)) {
         if (wanted <= 0 || (!full && !item.replaced))
             break;
         wanted -= item.entry->tokens;
-        let_go(*item.key, *item.entry, now);
+        evict(*item.key, *item.entry, now);
     }
-    m_room.made();
+    m_capacity.clear_full();
 }
 
 void
-KeptDirectory::let_go_obsolete(
+KeptDirectory::evict_obsolete(
     const std::function<bool(const KeptSpace&)>& obsolete, TimePoint now)
 {
     for (auto& [key, entry] : m_parts) {
-        if (entry.state != State::Held)
+        if (entry.state != State::Stored)
             continue;
         const auto space = KeptSpace::parse(key.first);
         if (!space || obsolete(*space))
-            let_go(key, entry, now);
+            evict(key, entry, now);
     }
 }
 
@@ -93,17 +93,18 @@
     const std::function<bool(const KeptSpace&)>& obsolete,
     double updated_fraction, TimePoint now)
 {
-    make_room(updated_fraction, now);
-    let_go_obsolete(obsolete, now);
+    evict_for_capacity(updated_fraction, now);
+    evict_obsolete(obsolete, now);
     std::map<std::string, KeptFree> frees;
     for (auto& [key, entry] : m_parts) {
-        if (entry.state != State::LetGo || entry.told_free ||
-            !may_free(key, entry.due, now) || !m_room.is_reachable(entry.store))
+        if (entry.state != State::Evicted || entry.free_requested ||
+            !may_free(key, entry.due, now) ||
+            !m_capacity.is_reachable(entry.store))
             continue;
-        entry.told_free = true;
+        entry.free_requested = true;
         add_free(frees, entry.store, key, entry.tokens);
     }
-    free_leftovers(frees, now);
+    free_stale_parts(frees, now);
     std::vector<KeptFree> result;
     result.reserve(frees.size());
     for (auto& [store, free] : frees)
@@ -118,21 +119,21 @@
 {
     KeptFree& free = frees[store];
     free.store = store;
-    free.boot = m_room.boot(store);
+    free.boot = m_capacity.boot(store);
     free.parts.push_back({key.first, key.second, tokens});
 }
 
 void
-KeptDirectory::free_leftovers(std::map<std::string, KeptFree>& frees,
-                              TimePoint now)
+KeptDirectory::free_stale_parts(std::map<std::string, KeptFree>& frees,
+                                TimePoint now)
 {
-    const auto may_free_now = [this, now](const KeptLeftover& left) {
-        return m_room.is_reachable(left.store) &&
-               may_free(left.key, left.due, now);
+    const auto may_free_now = [this, now](const StalePart& stale) {
+        return m_capacity.is_reachable(stale.store) &&
+               may_free(stale.key, stale.due, now);
     };
-    for (const KeptLeftover& left : m_leftovers.take_due(may_free_now, now)) {
-        add_free(frees, left.store, left.key, left.tokens);
-        m_room.give_back(left.store, left.tokens);
+    for (const StalePart& stale : m_stale_parts.take_due(may_free_now, now)) {
+        add_free(frees, stale.store, stale.key, stale.tokens);
+        m_capacity.release(stale.store, stale.tokens);
     }
 }
 
--- a/src/libcrosslink/kept/kept_history.cpp
+++ b/src/libcrosslink/kept/kept_history.cpp
@@ -14,7 +14,7 @@
 
 /// Number of changes that are retained. An instance asks for new ones several
 /// times a second.
-constexpr std::size_t most_changes = 2000;
+constexpr std::size_t max_changes = 2000;
 
 } // namespace
 
@@ -23,7 +23,7 @@
 {
     m_changes.push_back(std::move(change));
     ++m_place;
-    if (m_changes.size() > most_changes)
+    if (m_changes.size() > max_changes)
         m_changes.pop_front();
 }
 
--- a/src/libcrosslink/kept/kept_leftovers.cpp
+++ b/src/libcrosslink/kept/kept_leftovers.cpp
@@ -13,58 +13,57 @@
 
 /// A store refuses a request to free parts once the duty's lease of two seconds
 /// has ended. Until then the part may not be saved there again.
-constexpr Micros free_under_way = std::chrono::seconds(3);
+constexpr Micros free_time_limit = std::chrono::seconds(3);
 
 } // namespace
 
 void
-KeptLeftovers::add(const std::string& store, const KeptKey& key,
-                   std::uint32_t tokens, TimePoint due)
+StaleParts::add(const std::string& store, const KeptKey& key,
+                std::uint32_t tokens, TimePoint due)
 {
     if (!contains(store, key))
-        m_leftovers.push_back({store, key, tokens, due});
+        m_stale_parts.push_back({store, key, tokens, due});
 }
 
 bool
-KeptLeftovers::contains(const KeptKey& key) const
+StaleParts::contains(const KeptKey& key) const
 {
     return std::any_of(
-        m_leftovers.begin(), m_leftovers.end(),
-        [&key](const KeptLeftover& left) { return left.key == key; });
+        m_stale_parts.begin(), m_stale_parts.end(),
+        [&key](const StalePart& stale) { return stale.key == key; });
 }
 
 bool
-KeptLeftovers::contains(const std::string& store, const KeptKey& key) const
+StaleParts::contains(const std::string& store, const KeptKey& key) const
 {
-    return std::any_of(m_leftovers.begin(), m_leftovers.end(),
-                       [&](const KeptLeftover& left) {
-                           return left.store == store && left.key == key;
+    return std::any_of(m_stale_parts.begin(), m_stale_parts.end(),
+                       [&](const StalePart& stale) {
+                           return stale.store == store && stale.key == key;
                        });
 }
 
 void
-KeptLeftovers::forget_stores(
-    const std::function<bool(const std::string&)>& gone)
+StaleParts::remove_stores(const std::function<bool(const std::string&)>& gone)
 {
-    std::erase_if(m_leftovers, [&gone](const KeptLeftover& left) {
-        return gone(left.store);
+    std::erase_if(m_stale_parts, [&gone](const StalePart& stale) {
+        return gone(stale.store);
     });
 }
 
-std::vector<KeptLeftover>
-KeptLeftovers::take_due(
-    const std::function<bool(const KeptLeftover&)>& may_free, TimePoint now)
+std::vector<StalePart>
+StaleParts::take_due(const std::function<bool(const StalePart&)>& may_free,
+                     TimePoint now)
 {
-    std::vector<KeptLeftover> result;
-    for (KeptLeftover& left : m_leftovers) {
-        if (left.told_free || !may_free(left))
+    std::vector<StalePart> result;
+    for (StalePart& stale : m_stale_parts) {
+        if (stale.free_requested || !may_free(stale))
             continue;
-        result.push_back(left);
-        left.told_free = true;
-        left.due = now + free_under_way;
+        result.push_back(stale);
+        stale.free_requested = true;
+        stale.due = now + free_time_limit;
     }
-    std::erase_if(m_leftovers, [now](const KeptLeftover& left) {
-        return left.told_free && now >= left.due;
+    std::erase_if(m_stale_parts, [now](const StalePart& stale) {
+        return stale.free_requested && now >= stale.due;
     });
     return result;
 }
--- a/src/libcrosslink/kept/kept_replica.cpp
+++ b/src/libcrosslink/kept/kept_replica.cpp
@@ -13,11 +13,11 @@
 
 /// Minimum validity, in milliseconds, of an answer that is used: a fetch takes
 /// some time.
-constexpr RunnerMillis least_left = 300;
+constexpr RunnerMillis min_validity = 300;
 /// Number of changes retained for the instances that get their updates from
 /// this one. An instance that missed more gets the whole directory, some ten
 /// kilobytes.
-constexpr std::size_t most_changes = 2000;
+constexpr std::size_t max_changes = 2000;
 
 } // namespace
 
@@ -29,10 +29,10 @@
     if (update.term < m_term || (!update.is_snapshot && update.term != m_term))
         return;
     if (update.is_snapshot) {
-        m_places.clear();
+        m_stores.clear();
         m_terms.clear();
         m_changes.clear();
-        m_first = update.place;
+        m_history_start = update.place;
     }
     m_term = update.term;
     m_place = update.place;
@@ -42,7 +42,7 @@
     for (const KeptEntry& entry : update.entries) {
         apply(entry);
         if (!update.is_snapshot)
-            remember(update.place, entry);
+            retain(update.place, entry);
     }
 }
 
@@ -51,30 +51,30 @@
 {
     const KeptKey key{entry.space, entry.id};
     if (entry.store.empty()) {
-        m_places.erase(key);
+        m_stores.erase(key);
         return;
     }
-    m_places[key] = entry.store;
+    m_stores[key] = entry.store;
     if (const auto space = KeptSpace::parse(entry.space))
         m_terms.insert(space->term);
 }
 
 void
-KeptReplica::remember(std::uint64_t place, const KeptEntry& entry)
+KeptReplica::retain(std::uint64_t place, const KeptEntry& entry)
 {
     m_changes.push_back({place, entry});
-    while (m_changes.size() > most_changes) {
-        m_first = m_changes.front().place;
+    while (m_changes.size() > max_changes) {
+        m_history_start = m_changes.front().place;
         m_changes.pop_front();
     }
 }
 
 std::vector<KeptEntry>
-KeptReplica::all() const
+KeptReplica::all_entries() const
 {
     std::vector<KeptEntry> entries;
-    entries.reserve(m_places.size());
-    for (const auto& [key, store] : m_places)
+    entries.reserve(m_stores.size());
+    for (const auto& [key, store] : m_stores)
         entries.push_back({key.first, key.second, store});
     return entries;
 }
@@ -88,12 +88,12 @@
         return update;
     update.ready = true;
     update.term = m_term;
-    update.clock = m_clock.told();
-    update.age = now - m_clock.told_at();
-    update.is_snapshot = term != m_term || place < m_first;
+    update.clock = m_clock.reported();
+    update.age = now - m_clock.reported_at();
+    update.is_snapshot = term != m_term || place < m_history_start;
     update.place = update.is_snapshot ? m_place : std::max(place, m_place);
     if (update.is_snapshot) {
-        update.entries = all();
+        update.entries = all_entries();
         return update;
     }
     for (const Change& change : m_changes)
@@ -106,23 +106,23 @@
 KeptReplica::find(const KeptSpace& space, std::span<const PromptPart> parts,
                   bool best_effort, TimePoint now) const
 {
-    const auto holds = static_cast<RunnerMillis>(kept_answer_time.count());
+    const auto validity = static_cast<RunnerMillis>(kept_answer_time.count());
     KeptAnswer answer;
     answer.clock = m_clock.at(now);
-    const RunnerMillis until = m_clock.told() + holds;
+    const RunnerMillis until = m_clock.reported() + validity;
     if (!m_clock.is_known() || parts.empty() ||
-        answer.clock + least_left > until)
+        answer.clock + min_validity > until)
         return std::nullopt;
     KeptSpace wanted = space;
     for (const std::uint64_t term : m_terms) {
         wanted.term = term;
         const std::string text = wanted.text();
-        if (!m_places.contains({text, parts.back().id}))
+        if (!m_stores.contains({text, parts.back().id}))
             continue;
         answer.space = text;
         for (const PromptPart& part : parts) {
-            const auto found = m_places.find({text, part.id});
-            if (found != m_places.end())
+            const auto found = m_stores.find({text, part.id});
+            if (found != m_stores.end())
                 answer.places.push_back({KeptPlace::Kind::Fetch, found->second,
                                          until, KeptPlace::Reason::Unknown});
             else if (best_effort || term != m_term)
--- a/src/libcrosslink/kept/kept_replica_test.cpp
+++ b/src/libcrosslink/kept/kept_replica_test.cpp
@@ -26,14 +26,14 @@
 update(std::uint64_t place, bool whole, RunnerMillis clock,
        std::vector<KeptEntry> entries)
 {
-    KeptUpdate told;
-    told.ready = true;
-    told.term = 7;
-    told.place = place;
-    told.is_snapshot = whole;
-    told.clock = clock;
-    told.entries = std::move(entries);
-    return told;
+    KeptUpdate reported;
+    reported.ready = true;
+    reported.term = 7;
+    reported.place = place;
+    reported.is_snapshot = whole;
+    reported.clock = clock;
+    reported.entries = std::move(entries);
+    return reported;
 }
 
 KeptEntry
@@ -85,17 +85,17 @@
 
 TEST_CASE("what is handed on holds no longer than what the holder told")
 {
-    const RunnerMillis told = 1000;
+    const RunnerMillis reported = 1000;
     KeptReplica parent;
-    parent.take(update(5, true, told, {kept("a", "s1")}), at(0));
+    parent.take(update(5, true, reported, {kept("a", "s1")}), at(0));
     KeptReplica child;
     learn(child, parent, at(2000));
     const std::vector<PromptPart> parts{{"a", 100}};
     const auto answer = child.find(space, parts, true, at(2100));
     REQUIRE(answer);
-    const auto holds = static_cast<RunnerMillis>(kept_answer_time.count());
-    CHECK(answer->places[0].until == told + holds);
-    CHECK(answer->clock == told + 2100);
+    const auto validity = static_cast<RunnerMillis>(kept_answer_time.count());
+    CHECK(answer->places[0].until == reported + validity);
+    CHECK(answer->clock == reported + 2100);
     // However often it is handed on, the age adds up.
     KeptReplica grandchild;
     learn(grandchild, child, at(2900));
--- a/src/libcrosslink/kept/kept_room.cpp
+++ b/src/libcrosslink/kept/kept_room.cpp
@@ -14,33 +14,33 @@
 {
 
 /// Stores allocate capacity in multiples of this many tokens.
-constexpr std::uint32_t room_step = 16;
+constexpr std::uint32_t allocation_unit = 16;
 /// Fraction of a store that is filled; the rest is for interrupted saves.
-constexpr double filled_part = 0.97;
+constexpr double filled_fraction = 0.97;
 /// Fraction of the stores with faster links that is reserved for leading parts.
 /// They take a hundredth of all capacity, but for each weights version and each
 /// term.
-constexpr double forerunner_part = 0.2;
+constexpr double leading_fraction = 0.2;
 /// Fraction of all capacity that is evicted at once where a store is full. At
 /// two rounds a second, all of it is replaced in five seconds: half the time in
 /// which new weights reach all runners.
-constexpr double let_go_part = 0.1;
+constexpr double eviction_fraction = 0.1;
 /// Fraction of all capacity that is kept free, while there are parts of
 /// replaced weights, once all runners have the new ones; before that, it is
 /// less in proportion to the runners that have them. A part is freed seconds
 /// after its eviction, and until then the saves of those seconds need capacity.
-constexpr double reserve_part = 0.45;
+constexpr double reserve_fraction = 0.45;
 
 } // namespace
 
 std::uint32_t
-KeptRoom::room_of(std::uint32_t tokens)
+StoreCapacity::capacity_of(std::uint32_t tokens)
 {
-    return (tokens + room_step - 1) / room_step * room_step;
+    return (tokens + allocation_unit - 1) / allocation_unit * allocation_unit;
 }
 
 void
-KeptRoom::set_stores(std::span<const KeptStoreInfo> stores)
+StoreCapacity::set_stores(std::span<const KeptStoreInfo> stores)
 {
     std::map<std::string, Store, std::less<>> next;
     for (const KeptStoreInfo& info : stores) {
@@ -54,64 +54,64 @@
 }
 
 void
-KeptRoom::clear()
+StoreCapacity::clear()
 {
     m_full = false;
     for (auto& [address, store] : m_stores)
         store = Store{store.info};
 }
 
-KeptRoom::Store*
-KeptRoom::find(std::string_view store)
+StoreCapacity::Store*
+StoreCapacity::find(std::string_view store)
 {
     const auto found = m_stores.find(store);
     return found == m_stores.end() ? nullptr : &found->second;
 }
 
-const KeptRoom::Store*
-KeptRoom::find(std::string_view store) const
+const StoreCapacity::Store*
+StoreCapacity::find(std::string_view store) const
 {
     const auto found = m_stores.find(store);
     return found == m_stores.end() ? nullptr : &found->second;
 }
 
 bool
-KeptRoom::contains(std::string_view store) const
+StoreCapacity::contains(std::string_view store) const
 {
     return find(store) != nullptr;
 }
 
 std::uint64_t
-KeptRoom::boot(std::string_view store) const
+StoreCapacity::boot(std::string_view store) const
 {
     const Store* known = find(store);
     return known ? known->boot : 0;
 }
 
 bool
-KeptRoom::is_reachable(std::string_view store) const
+StoreCapacity::is_reachable(std::string_view store) const
 {
     const Store* known = find(store);
     return known && known->reachable;
 }
 
 std::optional<TimePoint>
-KeptRoom::listed_at(std::string_view store) const
+StoreCapacity::listed_at(std::string_view store) const
 {
     const Store* known = find(store);
     return known ? std::optional(known->listed_at) : std::nullopt;
 }
 
 bool
-KeptRoom::all_told() const
+StoreCapacity::all_reported() const
 {
     return std::all_of(m_stores.begin(), m_stores.end(),
                        [](const auto& item) { return item.second.boot != 0; });
 }
 
 bool
-KeptRoom::take_boot(std::string_view store, std::uint64_t boot,
-                    TimePoint write_from)
+StoreCapacity::update_boot(std::string_view store, std::uint64_t boot,
+                           TimePoint writable_from)
 {
     Store* const known = find(store);
     if (!known)
@@ -121,12 +121,12 @@
     if (!forgot_all)
         return false;
     known->used_tokens = 0;
-    known->write_from = write_from;
+    known->writable_from = writable_from;
     return true;
 }
 
 void
-KeptRoom::listed(std::string_view store, TimePoint now)
+StoreCapacity::set_listed(std::string_view store, TimePoint now)
 {
     if (Store* const known = find(store)) {
         known->reachable = true;
@@ -135,21 +135,21 @@
 }
 
 void
-KeptRoom::set_reachable(std::string_view store, bool reachable)
+StoreCapacity::set_reachable(std::string_view store, bool reachable)
 {
     if (Store* const known = find(store))
         known->reachable = reachable;
 }
 
 void
-KeptRoom::take(std::string_view store, std::uint32_t tokens)
+StoreCapacity::add_used(std::string_view store, std::uint32_t tokens)
 {
     if (Store* const known = find(store))
         known->used_tokens += tokens;
 }
 
 void
-KeptRoom::give_back(std::string_view store, std::uint32_t tokens)
+StoreCapacity::release(std::string_view store, std::uint32_t tokens)
 {
     if (Store* const known = find(store))
         known->used_tokens -=
@@ -157,7 +157,7 @@
 }
 
 double
-KeptRoom::slowest_link() const
+StoreCapacity::slowest_link() const
 {
     double slowest = std::numeric_limits<double>::max();
     for (const auto& [address, store] : m_stores)
@@ -167,43 +167,42 @@
 
 /// Returns whether a store can be written to.
 bool
-KeptRoom::is_open(const Store& store, TimePoint now)
+StoreCapacity::is_writable(const Store& store, TimePoint now)
 {
-    return store.reachable && store.boot != 0 && now >= store.write_from;
+    return store.reachable && store.boot != 0 && now >= store.writable_from;
 }
 
 bool
-KeptRoom::has_room(const Store& store, std::uint32_t tokens,
-                   bool forerunner) const
+StoreCapacity::has_capacity(const Store& store, std::uint32_t tokens,
+                            bool leading) const
 {
     const bool reserved =
-        !forerunner && store.info.link_bytes_per_second > slowest_link();
-    const double part = filled_part - (reserved ? forerunner_part : 0);
+        !leading && store.info.link_bytes_per_second > slowest_link();
+    const double fraction = filled_fraction - (reserved ? leading_fraction : 0);
     return static_cast<double>(store.used_tokens + tokens) <=
-           part * static_cast<double>(store.info.capacity_tokens);
+           fraction * static_cast<double>(store.info.capacity_tokens);
 }
 
 std::string
-KeptRoom::place_for(std::uint32_t tokens, bool forerunner,
-                    const std::function<bool(const std::string&)>& may_have,
-                    TimePoint now)
+StoreCapacity::select_store(
+    std::uint32_t tokens, bool leading,
+    const std::function<bool(const std::string&)>& may_have, TimePoint now)
 {
     using Rank = std::tuple<bool, double, double>;
     std::string best;
     Rank best_rank;
     bool any_full = false;
     for (const auto& [address, store] : m_stores) {
-        if (!is_open(store, now) || may_have(address))
+        if (!is_writable(store, now) || may_have(address))
             continue;
-        if (!has_room(store, tokens, forerunner)) {
+        if (!has_capacity(store, tokens, leading)) {
             any_full = true;
             continue;
         }
         const double link = std::max(store.info.link_bytes_per_second, 1.0);
         const double filling =
             static_cast<double>(store.used_tokens + tokens) / link;
-        const Rank rank{m_slow.contains(address), forerunner ? -link : 0,
-                        filling};
+        const Rank rank{m_slow.contains(address), leading ? -link : 0, filling};
         if (best.empty() || rank < best_rank) {
             best = address;
             best_rank = rank;
@@ -218,30 +217,32 @@
 /// Returns the fraction of all capacity that is free once `evicted` tokens are
 /// freed.
 double
-KeptRoom::free_part(std::uint64_t let_go) const
+StoreCapacity::free_fraction(std::uint64_t evicted) const
 {
-    double room = 0;
+    double capacity = 0;
     double used = 0;
     for (const auto& [address, store] : m_stores) {
-        room += static_cast<double>(store.info.capacity_tokens);
+        capacity += static_cast<double>(store.info.capacity_tokens);
         used += static_cast<double>(store.used_tokens);
     }
-    used -= static_cast<double>(let_go);
-    return room > 0 ? 1 - used / room : 1;
+    used -= static_cast<double>(evicted);
+    return capacity > 0 ? 1 - used / capacity : 1;
 }
 
 bool
-KeptRoom::is_low(double updated_fraction, std::uint64_t let_go) const
+StoreCapacity::below_reserve(double updated_fraction,
+                             std::uint64_t evicted) const
 {
-    return free_part(let_go) < reserve_part * updated_fraction;
+    return free_fraction(evicted) < reserve_fraction * updated_fraction;
 }
 
 double
-KeptRoom::tokens_to_let_go() const
+StoreCapacity::tokens_to_evict() const
 {
     double tokens = 0;
     for (const auto& [address, store] : m_stores)
-        tokens += let_go_part * static_cast<double>(store.info.capacity_tokens);
+        tokens +=
+            eviction_fraction * static_cast<double>(store.info.capacity_tokens);
     return tokens;
 }
 
--- a/src/libcrosslink/kept/runner_clock.cpp
+++ b/src/libcrosslink/kept/runner_clock.cpp
@@ -9,14 +9,14 @@
 void
 RunnerClock::set(RunnerMillis clock, TimePoint now)
 {
-    m_told = clock;
-    m_told_at = now;
+    m_reported = clock;
+    m_reported_at = now;
 }
 
 void
 RunnerClock::advance(RunnerMillis clock, TimePoint now)
 {
-    if (clock > m_told)
+    if (clock > m_reported)
         set(clock, now);
 }
 
@@ -25,9 +25,9 @@
 {
     if (!is_known())
         return 0;
-    const auto since =
-        std::chrono::duration_cast<std::chrono::milliseconds>(now - m_told_at);
-    return m_told + static_cast<RunnerMillis>(since.count());
+    const auto since = std::chrono::duration_cast<std::chrono::milliseconds>(
+        now - m_reported_at);
+    return m_reported + static_cast<RunnerMillis>(since.count());
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/weights/weights_history.cpp
+++ b/src/libcrosslink/weights/weights_history.cpp
@@ -12,49 +12,51 @@
 WeightsHistory::named(std::uint64_t version, TimePoint now)
 {
     if (version > newest())
-        m_named.push_back({version, now});
+        m_versions.push_back({version, now});
 }
 
 void
 WeightsHistory::named_earlier(std::uint64_t version, TimePoint at)
 {
-    const auto place = place_of(version);
-    if (place == m_named.end())
+    const auto position = position_of(version);
+    if (position == m_versions.end())
         return;
-    if (place->version == version)
-        place->at = std::min(place->at, at);
+    if (position->version == version)
+        position->at = std::min(position->at, at);
     else
-        m_named.insert(place, {version, at});
+        m_versions.insert(position, {version, at});
 }
 
 void
 WeightsHistory::found(std::uint64_t version, TimePoint now)
 {
-    const auto place = place_of(version);
-    if (place == m_named.end()) {
-        m_named.push_back({version, now, true});
+    const auto position = position_of(version);
+    if (position == m_versions.end()) {
+        m_versions.push_back({version, now, true});
         return;
     }
     // Older weights were named before newer ones.
-    if (place->version != version)
-        m_named.insert(place, {version, std::min(now, place->at), true});
+    if (position->version != version)
+        m_versions.insert(position,
+                          {version, std::min(now, position->at), true});
 }
 
 void
 WeightsHistory::lapsed(std::uint64_t version, TimePoint at)
 {
-    const auto place = place_of(version);
-    if (place == m_named.end() || place->version != version || !place->is_found)
+    const auto position = position_of(version);
+    if (position == m_versions.end() || position->version != version ||
+        !position->is_found)
         return;
-    if (!place->is_lapsed)
-        place->at = std::min(place->at, at);
-    place->is_lapsed = true;
+    if (!position->is_lapsed)
+        position->at = std::min(position->at, at);
+    position->is_lapsed = true;
 }
 
 std::vector<NamedWeights>::iterator
-WeightsHistory::place_of(std::uint64_t version)
+WeightsHistory::position_of(std::uint64_t version)
 {
-    return std::find_if(m_named.begin(), m_named.end(),
+    return std::find_if(m_versions.begin(), m_versions.end(),
                         [version](const NamedWeights& named) {
                             return named.version >= version;
                         });
@@ -63,13 +65,13 @@
 std::uint64_t
 WeightsHistory::newest() const
 {
-    return m_named.empty() ? 0 : m_named.back().version;
+    return m_versions.empty() ? 0 : m_versions.back().version;
 }
 
 std::optional<TimePoint>
 WeightsHistory::replaced_at(std::uint64_t version) const
 {
-    for (const NamedWeights& named : m_named)
+    for (const NamedWeights& named : m_versions)
         if (named.version > version)
             return named.at;
     return std::nullopt;
@@ -80,7 +82,7 @@
                                 const PlatformAvailability& reach) const
 {
     std::uint64_t version = 0;
-    for (const NamedWeights& named : m_named)
+    for (const NamedWeights& named : m_versions)
         if (named.is_lapsed || reach.available_time(named.at, now) >= bound)
             version = named.version;
     return version;
@@ -90,7 +92,7 @@
 WeightsHistory::left(std::uint64_t version, Micros bound, TimePoint now,
                      const PlatformAvailability& reach) const
 {
-    for (const NamedWeights& named : m_named)
+    for (const NamedWeights& named : m_versions)
         if (named.version == version && !named.is_lapsed)
             return std::max(bound - reach.available_time(named.at, now),
                             Micros{0});
--- a/src/libcrosslink/weights/weights_plan.cpp
+++ b/src/libcrosslink/weights/weights_plan.cpp
@@ -15,10 +15,10 @@
 /// Fraction of the runners that load at once. More of them load more slowly,
 /// and prompts on new weights are computed in full: five in six runners
 /// continue to serve meanwhile (docs/MEASUREMENTS.md has the figures).
-constexpr double part_at_once = 1.0 / 6;
+constexpr double usual_load_fraction = 1.0 / 6;
 /// Maximum fraction of the runners that load at once, however little time is
 /// left.
-constexpr double most_at_once = 0.4;
+constexpr double max_load_fraction = 0.4;
 /// Typical time of one order: the calls of the runner end, then the weights are
 /// loaded. It takes 1.1 to 2.6 s, mostly 1.6 s.
 constexpr Micros order_time = std::chrono::milliseconds(1600);
@@ -26,31 +26,31 @@
 /// the oldest weights should be done. No calls are sent to the rest any more
 /// (runner_choice stops a little earlier still): they load without calls.
 constexpr Micros finish_margin = std::chrono::milliseconds(1500);
-constexpr double done_part = 0.55;
-constexpr double least_left_s = 0.5;
+constexpr double done_fraction = 0.55;
+constexpr double min_left_s = 0.5;
 /// An order is sent again after this time where its runner reports neither that
 /// it is busy nor that it is done. An order in progress ends by itself.
-constexpr Micros unheard_time = std::chrono::milliseconds(700);
+constexpr Micros confirmation_timeout = std::chrono::milliseconds(700);
 /// Longest time for which an accepted order stays open. The calls of the runner
 /// end first, the longest of them by its deadline.
-constexpr Micros longest_order = std::chrono::seconds(6);
+constexpr Micros order_timeout = std::chrono::seconds(6);
 /// An open order whose runner answers nothing releases its slot after this
 /// time: one lost report takes 0.4 s, and the next one 0.1 s. Without this,
 /// silent runners held all slots for seconds.
-constexpr Micros silent_time = std::chrono::milliseconds(600);
+constexpr Micros silence_timeout = std::chrono::milliseconds(600);
 /// Time for which the other instances are informed that a runner has loaded.
 /// Runners renew their own list entry about every 1.2 s, and it is read a
 /// moment later.
-constexpr Micros told_time = std::chrono::seconds(3);
+constexpr Micros report_time = std::chrono::seconds(3);
 /// Pause before a runner that was busy or refused gets another order. It grows
 /// with each consecutive order that failed, so that a runner that fails its
 /// orders takes no turns from those that wait behind it.
-constexpr Micros again_pause = std::chrono::milliseconds(400);
-constexpr std::uint32_t most_doublings = 3;
+constexpr Micros retry_pause = std::chrono::milliseconds(400);
+constexpr std::uint32_t max_doublings = 3;
 /// Pause before the next order to a runner with a request in progress: two
 /// rounds of the plan, so that a runner whose request hangs does not take a
 /// slot in each round.
-constexpr Micros talk_pause = std::chrono::milliseconds(160);
+constexpr Micros exchange_pause = std::chrono::milliseconds(160);
 
 } // namespace
 
@@ -63,32 +63,32 @@
 /// Returns how many runners should load at once: a fraction of them, and more
 /// where those with the oldest weights would not be done in time.
 std::size_t
-WeightsPlan::at_once(std::string_view model, const RunnerTable& runners,
-                     TimePoint now) const
+WeightsPlan::load_limit(std::string_view model, const RunnerTable& runners,
+                        TimePoint now) const
 {
     const WeightsHistory& history = m_models.find(model)->second;
     double all = 0;
     double needed = 0;
-    std::map<std::uint64_t, std::uint32_t> behind; ///< Runners by version.
+    std::map<std::uint64_t, std::uint32_t> outdated; ///< Runners by version.
     for (const auto& [id, entry] : runners.entries()) {
         const std::uint64_t has = entry.version_of(model);
         if (has == 0 || entry.leaves())
             continue;
         ++all;
         if (has < history.newest())
-            ++behind[has];
+            ++outdated[has];
     }
     double before = 0;
-    for (const auto& [version, count] : behind) {
+    for (const auto& [version, count] : outdated) {
         before += count;
         const TimePoint end =
             *history.replaced_at(version) + m_bound - finish_margin;
-        const double left = std::max(seconds(end - now), least_left_s);
-        needed =
-            std::max(needed, done_part * before * seconds(order_time) / left);
+        const double left = std::max(seconds(end - now), min_left_s);
+        needed = std::max(needed,
+                          done_fraction * before * seconds(order_time) / left);
     }
-    const double usual = std::max(1.0, part_at_once * all);
-    const double most = std::max(1.0, most_at_once * all);
+    const double usual = std::max(1.0, usual_load_fraction * all);
+    const double most = std::max(1.0, max_load_fraction * all);
     return static_cast<std::size_t>(
         std::lround(std::clamp(needed, usual, most)));
 }
@@ -96,8 +96,8 @@
 /// Returns the runners that may be ordered to load now, in the order in which
 /// they should.
 std::vector<const RunnerEntry*>
-WeightsPlan::behind(std::string_view model, const RunnerTable& runners,
-                    TimePoint now) const
+WeightsPlan::outdated_runners(std::string_view model,
+                              const RunnerTable& runners, TimePoint now) const
 {
     const std::uint64_t newest = m_models.find(model)->second.newest();
     std::vector<const RunnerEntry*> result;
@@ -105,7 +105,7 @@
         const std::uint64_t has = entry.version_of(model);
         if (has > 0 && has < newest && !entry.leaves() &&
             !m_open.contains(id) &&
-            !waits({id, std::string(model)}, newest, now))
+            !must_wait({id, std::string(model)}, newest, now))
             result.push_back(&entry);
     }
     // The oldest weights first: calls to them are the first to be forbidden.
@@ -142,71 +142,71 @@
         return found == runners.entries().end() ||
                found->second.listed.start_ms != item.second.order.start_ms;
     });
-    std::erase_if(m_again, [&runners](const auto& item) {
+    std::erase_if(m_retries, [&runners](const auto& item) {
         return !runners.entries().contains(item.first.runner);
     });
     std::erase_if(m_open, [&](const auto& item) {
         const Micros limit =
-            item.second.accepted ? longest_order : unheard_time;
-        const bool overdue = now >= item.second.given + limit;
+            item.second.accepted ? order_timeout : confirmation_timeout;
+        const bool overdue = now >= item.second.sent_at + limit;
         if (overdue)
-            failed(item.second.order, now);
+            record_failure(item.second.order, now);
         return overdue;
     });
 }
 
 /// Returns the retry state for the runner and the model of `order`. Failures of
 /// orders for another version don't count.
-WeightsPlan::Again&
-WeightsPlan::again_for(const WeightsOrder& order)
+WeightsPlan::Retry&
+WeightsPlan::retry_for(const WeightsOrder& order)
 {
-    Again& again = m_again[{order.runner, order.model}];
-    if (again.version != order.version)
-        again = {order.version};
-    return again;
+    Retry& retry = m_retries[{order.runner, order.model}];
+    if (retry.version != order.version)
+        retry = {order.version};
+    return retry;
 }
 
 /// Returns whether a runner must not get another order yet.
 bool
-WeightsPlan::waits(const RunnerModel& runner, std::uint64_t version,
-                   TimePoint now) const
+WeightsPlan::must_wait(const RunnerModel& runner, std::uint64_t version,
+                       TimePoint now) const
 {
-    const auto again = m_again.find(runner);
-    return again != m_again.end() && again->second.version == version &&
-           now < again->second.at;
+    const auto retry = m_retries.find(runner);
+    return retry != m_retries.end() && retry->second.version == version &&
+           now < retry->second.at;
 }
 
 /// Records that an order failed. The first one may simply have been lost, and
 /// is sent again at once.
 void
-WeightsPlan::failed(const WeightsOrder& order, TimePoint now)
+WeightsPlan::record_failure(const WeightsOrder& order, TimePoint now)
 {
-    Again& again = again_for(order);
-    again.at = now + again_pause * ((1 << again.failures) - 1);
-    again.failures = std::min(again.failures + 1, most_doublings);
+    Retry& retry = retry_for(order);
+    retry.at = now + retry_pause * ((1 << retry.failures) - 1);
+    retry.failures = std::min(retry.failures + 1, max_doublings);
 }
 
 /// Delays the next order to a runner by at least `time`.
 void
-WeightsPlan::pause(const WeightsOrder& order, Micros time, TimePoint now)
+WeightsPlan::delay_retry(const WeightsOrder& order, Micros time, TimePoint now)
 {
-    Again& again = again_for(order);
-    again.at = std::max(again.at, now + time);
+    Retry& retry = retry_for(order);
+    retry.at = std::max(retry.at, now + time);
 }
 
 /// Returns how many open orders hold a slot among the runners of `model` that
 /// load at once. Orders for other models take none: the larger model would
 /// starve the smaller one.
 std::size_t
-WeightsPlan::places_taken(std::string_view model, TimePoint now) const
+WeightsPlan::slots_taken(std::string_view model, TimePoint now) const
 {
-    const auto takes_place = [model, now](const auto& item) {
-        const Open& open = item.second;
+    const auto takes_slot = [model, now](const auto& item) {
+        const OpenOrder& open = item.second;
         return open.order.model == model &&
-               (!open.unanswered || now < open.heard + silent_time);
+               (!open.unanswered || now < open.last_response + silence_timeout);
     };
     return static_cast<std::size_t>(
-        std::count_if(m_open.begin(), m_open.end(), takes_place));
+        std::count_if(m_open.begin(), m_open.end(), takes_slot));
 }
 
 std::vector<WeightsOrder>
@@ -215,9 +215,9 @@
     drop_overdue(runners, now);
     std::vector<WeightsOrder> orders;
     for (const auto& [model, history] : m_models) {
-        const std::size_t most = at_once(model, runners, now);
-        std::size_t taken = places_taken(model, now);
-        for (const RunnerEntry* entry : behind(model, runners, now)) {
+        const std::size_t most = load_limit(model, runners, now);
+        std::size_t taken = slots_taken(model, now);
+        for (const RunnerEntry* entry : outdated_runners(model, runners, now)) {
             if (taken++ >= most)
                 break;
             WeightsOrder order{entry->listed.id, entry->listed.start_ms,
@@ -236,7 +236,7 @@
     if (open == m_open.end())
         return;
     m_open.erase(open);
-    pause(order, talk_pause, now);
+    delay_retry(order, exchange_pause, now);
 }
 
 void
@@ -248,7 +248,7 @@
     if (open == m_open.end() || open->second.order.version != order.version)
         return;
     if (outcome != OrderOutcome::Unknown)
-        open->second.heard_at(now);
+        open->second.record_response(now);
     switch (outcome) {
     case OrderOutcome::Accepted:
         open->second.accept(now);
@@ -258,14 +258,14 @@
     case OrderOutcome::AlreadyLoaded:
         m_loaded.push_back({order, now});
         m_open.erase(open);
-        m_again.erase({order.runner, order.model});
+        m_retries.erase({order.runner, order.model});
         break;
     case OrderOutcome::Refused:
-        failed(order, now);
+        record_failure(order, now);
         [[fallthrough]];
     case OrderOutcome::Busy:
         m_open.erase(open);
-        pause(order, again_pause, now);
+        delay_retry(order, retry_pause, now);
         break;
     }
 }
@@ -283,7 +283,7 @@
 WeightsPlan::loaded(TimePoint now)
 {
     std::erase_if(m_loaded, [now](const Loaded& loaded) {
-        return now >= loaded.at + told_time;
+        return now >= loaded.at + report_time;
     });
     std::vector<WeightsOrder> orders;
     for (const Loaded& loaded : m_loaded)
@@ -298,22 +298,22 @@
     const auto open = find_open(order);
     if (open == m_open.end())
         return;
-    open->second.heard_at(now);
+    open->second.record_response(now);
     if (busy) {
         open->second.accept(now);
         return;
     }
     const bool done = version >= open->second.order.version;
     // It was accepted and is gone: the runner has restarted meanwhile.
-    const bool forgotten =
-        open->second.accepted && now > open->second.given + unheard_time;
+    const bool lost = open->second.accepted &&
+                      now > open->second.sent_at + confirmation_timeout;
     if (done) {
         m_loaded.push_back({open->second.order, now});
-        m_again.erase({order.runner, order.model});
-    } else if (forgotten) {
-        failed(open->second.order, now);
+        m_retries.erase({order.runner, order.model});
+    } else if (lost) {
+        record_failure(open->second.order, now);
     }
-    if (done || forgotten)
+    if (done || lost)
         m_open.erase(open);
 }
 
--- a/src/libcrosslink/weights/weights_plan_test.cpp
+++ b/src/libcrosslink/weights/weights_plan_test.cpp
@@ -84,12 +84,12 @@
     REQUIRE(orders.size() == 1);
     plan.ordered(orders[0], OrderOutcome::Accepted, at(10));
     CHECK(plan.due(table, at(100)).empty());
-    ListedRunner anew = runner(0, 1);
-    anew.start_ms = 5;
-    table.put(anew, at(200));
-    const auto again = plan.due(table, at(200));
-    REQUIRE(again.size() == 1);
-    CHECK(again[0].start_ms == 5);
+    ListedRunner restarted = runner(0, 1);
+    restarted.start_ms = 5;
+    table.put(restarted, at(200));
+    const auto retry = plan.due(table, at(200));
+    REQUIRE(retry.size() == 1);
+    CHECK(retry[0].start_ms == 5);
 }
 
 TEST_CASE("a runner that says that it leaves is ordered nothing")
