--- a/src/include/crosslink/kept/kept_directory.h
+++ b/src/include/crosslink/kept/kept_directory.h
@@ -7,11 +7,11 @@
 #include <crosslink/forward/forwarded_call.h>
 #include <crosslink/forward/service_map.h>
 #include <crosslink/kept/kept_history.h>
-#include <crosslink/kept/kept_leftovers.h>
 #include <crosslink/kept/kept_part.h>
 #include <crosslink/kept/kept_replica.h>
-#include <crosslink/kept/kept_room.h>
 #include <crosslink/kept/runner_clock.h>
+#include <crosslink/kept/stale_parts.h>
+#include <crosslink/kept/store_capacity.h>
 
 #include <cstdint>
 #include <functional>
--- a/src/libcrosslink/kept/kept_leftovers.cpp
+++ b/src/libcrosslink/kept/stale_parts.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/kept/kept_leftovers.h>
+#include <crosslink/kept/stale_parts.h>
 
 #include <algorithm>
 
--- a/src/libcrosslink/kept/kept_room.cpp
+++ b/src/libcrosslink/kept/store_capacity.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include <crosslink/kept/kept_room.h>
+#include <crosslink/kept/store_capacity.h>
 
 #include <algorithm>
 #include <limits>
--- a/src/libcrosslink/kept/kept_room_test.cpp
+++ b/src/libcrosslink/kept/store_capacity_test.cpp
@@ -3,7 +3,7 @@
 
 #include "../testing/managed_store.h"
 
-#include <crosslink/kept/kept_room.h>
+#include <crosslink/kept/store_capacity.h>
 
 #include <catch2/catch.hpp>
 
