--- a/src/include/crosslink/kept/fetch_delay_tracker.h
+++ b/src/include/crosslink/kept/fetch_delay_tracker.h
@@ -69,7 +69,7 @@
     std::vector<FetchDelay> delays(TimePoint now) const;
     /// Sets the delay of calls over the whole fleet, as of `now`. A single
     /// instance has few samples: one instance of 71 observes a store once in
-    /// three seconds, and all together 12 times a second.
+    /// three seconds, and all of them together 12 times a second.
     void set_fleet_delay(const FetchDelay& fleet, TimePoint now);
 
     /// Returns whether a call should fetch a part of `tokens` by `path`. A slow
--- a/src/include/crosslink/kept/kept_part.h
+++ b/src/include/crosslink/kept/kept_part.h
@@ -18,7 +18,7 @@
 
 /// Time for which an answer of the directory of kept parts is valid. It is
 /// longer than the duty takes to pass from one holder to the next, and shorter
-/// than new weights take to load.
+/// than the rollout of new weights takes.
 inline constexpr std::chrono::milliseconds kept_answer_time{3000};
 /// Time for which a holder of the duty continues to answer after its lease
 /// ended. The platform is unreachable for 4 to 6 s now and then, and all
--- a/src/include/crosslink/kept/stale_parts.h
+++ b/src/include/crosslink/kept/stale_parts.h
@@ -14,8 +14,8 @@
 namespace crosslink
 {
 
-/// A part in a store that the directory no longer reports for the part. The
-/// store may have it, complete or incomplete, or not at all.
+/// A part in a store where the directory no longer reports it. The store may
+/// have it, complete or incomplete, or not at all.
 struct StalePart {
     std::string store; ///< Address.
     KeptKey key;
@@ -25,7 +25,7 @@
     bool free_requested = false;
 };
 
-/// The parts in stores that the directory of kept parts no longer reports for
+/// The parts in stores where the directory of kept parts no longer reports
 /// them. The directory has no part saved to a store where it is stale, and has
 /// the store free a stale part once all answers that named it have expired.
 class StaleParts
--- a/src/include/crosslink/kept/store_capacity.h
+++ b/src/include/crosslink/kept/store_capacity.h
@@ -91,7 +91,7 @@
         bool reachable = false;
         std::uint64_t boot = 0;
         std::uint64_t used_tokens = 0;
-        /// Answers from before its restart have expired.
+        /// When answers from before its restart have expired.
         TimePoint writable_from{};
         TimePoint listed_at{};
     };
