--- a/src/include/crosslink/forward/advertised_limit.h
+++ b/src/include/crosslink/forward/advertised_limit.h
@@ -12,7 +12,7 @@
 namespace crosslink
 {
 
-/// What one instance tells another of a runner that named a limit.
+/// The limit that a runner advertised, as one instance reports it to another.
 struct LimitUpdate {
     std::string runner;
     std::uint64_t start_ms = 0;        ///< Its incarnation.
@@ -21,32 +21,33 @@
     std::uint64_t heard = 0;           ///< See AdvertisedLimit.
 };
 
-/// How many calls a second a runner takes from all instances together, by its
-/// own word in answers. Words overtake each other on their way, so that changes
-/// are counted: what is told with more of them is newer, and an answer counts
-/// only where its call was sent after the last change was heard. Of two changes
-/// that were heard apart, and count the same, the lower limit holds until the
-/// next answer. Answers that said so are counted too: an age would seem less
-/// with each instance that tells it on.
+/// The number of calls a second that a runner accepts from all instances
+/// together, as it advertises in its answers. Reports can arrive out of order,
+/// so changes are counted: of two reports the one with more changes is newer,
+/// and an answer counts only if its call was sent after the last change was
+/// known. If two instances learn of different changes independently and their
+/// counts are equal, the lower limit holds until the next answer. The answers
+/// that confirmed the limit are counted too: an age would shrink with each
+/// instance that passes it on.
 class AdvertisedLimit
 {
 public:
     bool in_force() const { return m_per_second != no_rate_limit; }
     double per_second() const { return m_per_second; }
-    /// How often it changed, as far as is known.
+    /// Number of changes, as far as known.
     std::uint64_t change() const { return m_change; }
-    /// How many answers said so, as far as is known.
+    /// Number of answers that confirmed the limit, as far as known.
     std::uint64_t heard() const { return m_heard; }
-    /// When this instance last learned of another one.
+    /// When this instance last learned of a further such answer.
     TimePoint heard_at() const { return m_heard_at; }
 
-    /// Takes in what an answer names whose call was sent at `known` changes.
-    /// Returns whether the limit changed.
+    /// Applies the limit in an answer to a call that was sent when `known`
+    /// changes were known. Returns whether the limit changed.
     bool answered(double per_second, std::uint64_t known, TimePoint now);
-    /// Takes in what another instance told. Returns whether the limit changed.
+    /// Merges a report of another instance. Returns whether the limit changed.
     bool told(const LimitUpdate& news, TimePoint now);
-    /// Returns whether other instances are to be told of it: while it is in
-    /// force, and for some time after its end.
+    /// Returns whether other instances are to be informed: while the limit is
+    /// in force, and for some time after its end.
     bool is_news(TimePoint now) const;
 
 private:
--- a/src/include/crosslink/forward/crash_history.h
+++ b/src/include/crosslink/forward/crash_history.h
@@ -18,19 +18,19 @@
 namespace crosslink
 {
 
-/// A call that was under way at a runner when its process ended.
+/// A call that was in flight at a runner when the runner's process ended.
 struct InterruptedCall {
     std::string request; ///< See request_digest().
     std::string runner;
     std::uint64_t start_ms = 0; ///< See ListedRunner.
-    /// It was sent although the instance knew of another runner's end under the
-    /// request, with no answer since.
+    /// True if the call was sent although the instance already knew that
+    /// another runner had ended under the request, with no answer since.
     bool again = false;
-    TimePoint ended_at{}; ///< When the end was seen.
+    TimePoint ended_at{}; ///< When the end was detected.
 };
 
-/// What instances tell each other of requests under which runners ended. Spans
-/// count back from when it is told.
+/// What instances report to each other about requests under which runners
+/// ended. Durations count back from the time of the report.
 struct CrashUpdate {
     /// See InterruptedCall.
     struct Broken {
@@ -40,13 +40,14 @@
         bool again = false;
         Micros since_end{0};
     };
-    /// A runner answered the request whole.
+    /// A request that a runner answered completely.
     struct Answered {
         std::string request;
         Micros since{0};
     };
 
-    /// One more runner broke the request off, and the verdict on it is open.
+    /// A request that failed at one more runner, for which it is not yet known
+    /// whether the runner's process ended.
     struct Held {
         std::string request;
         Micros since{0};
@@ -62,73 +63,76 @@
     }
 };
 
-/// Which requests runners ended under, as far as this instance knows, and
-/// which of them are sent to no runner any more: those under which
-/// `most_ends` runners ended since one answered them whole.
+/// The requests under which runners ended, as far as this instance knows. A
+/// request is blocked, that is, sent to no runner any more, once `most_ends`
+/// runners ended under it since its last complete answer.
 ///
-/// A process that ends takes all its calls with it, so that a harmless request
-/// which many send may be under way at all runners that are lost at one moment.
-/// That is one loss, not several: at least one of the calls must have been sent
-/// when another runner's end was known. (Times can't tell: those that other
-/// instances told are off by up to 0.15 s.) And the request's own answer, from
-/// any runner, is the proof that it is harmless.
+/// A process that ends takes all its calls with it. A harmless request that
+/// many callers send may therefore be in flight at several runners that are
+/// lost at the same moment. This counts as a single loss: to block a request,
+/// at least one of the calls must have been sent when the end of another runner
+/// was already known. Timestamps can't decide this, since those reported by
+/// other instances are off by up to 0.15 s. An answer to the request from any
+/// runner proves that the request is harmless.
 ///
-/// Instances tell each other what they see for a moment; a blocked request is
-/// also recorded at the platform, which tells those that start. All of it
-/// fades: ten minutes after the last runner ended, or when the record goes.
+/// Instances report what they see to each other only for a short time. A
+/// blocked request is also recorded at the platform, where instances that start
+/// read it. All of this expires: ten minutes after the last runner ended, or
+/// when the record is removed.
 class CrashHistory
 {
 public:
-    /// Runners that may end under a request before it is blocked. Two would
-    /// block a request that was under way at a runner lost by chance, and
-    /// repeated once beside the one that ends runners.
+    /// Number of runners that end under a request before it is blocked. Two
+    /// would block a harmless request that lost one runner by chance and was
+    /// then repeated on a runner that another request ended.
     static constexpr std::size_t most_ends = 3;
-    /// After that nothing is known of a request: what ended runners may have
-    /// been mended, and another three runners in ten minutes are little.
+    /// Time after which a request is forgotten. The cause may have been fixed
+    /// by then, and losing another three runners in ten minutes is acceptable.
     static constexpr Micros remembered = std::chrono::minutes(10);
-    /// Requests that are remembered at once. Each end of a runner adds the
-    /// calls of this instance there, some tens at most.
+    /// Maximum number of requests that are remembered. Each end of a runner
+    /// adds the calls that this instance had there, some tens at most.
     static constexpr std::size_t most_requests = 1024;
-    /// Answered requests under which no runner ended that are remembered, in
-    /// case that others tell of an end that came before: a second's, where one
-    /// instance has 200 calls a second.
+    /// Maximum number of answered requests without a known end that are
+    /// remembered, in case another instance later reports an earlier end. This
+    /// covers one second of an instance that has 200 calls a second.
     static constexpr std::size_t most_answers = 256;
 
-    /// Takes in that a runner ended under a request. Returns whether it was not
-    /// known: several instances may tell of the same end.
+    /// Records that a runner ended under a request. Returns whether this is
+    /// new: several instances may report the same end.
     bool ended(const InterruptedCall& call, TimePoint now);
-    /// Takes in that a runner answered a request whole at `at`.
+    /// Records that a runner answered a request completely at `at`.
     void answered(std::string_view request, TimePoint at, TimePoint now);
-    /// Takes in that a request broke off at one more runner at `at`, of which
-    /// it is not known yet whether it ended. Where as many ends are known as
-    /// block a request, it is held until the verdict: else each instance would
-    /// send it on for as long as that takes.
+    /// Records that a request failed at one more runner at `at`, for which it
+    /// is not yet known whether it ended. If as many ends are known as block a
+    /// request, the request is held back until this is decided; otherwise each
+    /// instance would keep sending it for that long.
     void hold(std::string_view request, TimePoint at, TimePoint now);
-    /// Returns whether a request is to be sent to no runner.
+    /// Returns whether a request must not be sent to any runner.
     bool blocked(std::string_view request, TimePoint now) const;
-    /// Returns how many runners ended under a request since it was answered.
+    /// Returns how many runners ended under a request since its last answer.
     std::size_t ends(std::string_view request) const;
-    /// Returns the requests that were blocked since the last question.
+    /// Returns the requests that became blocked since the previous call.
     std::vector<std::string> take_newly_blocked(TimePoint now);
-    /// True where nothing is known of any request.
+    /// Returns whether nothing is known of any request.
     bool empty() const { return m_requests.empty(); }
 
-    /// Returns what was learned lately, for other instances.
+    /// Returns what was learned recently, to be reported to other instances.
     CrashUpdate news(TimePoint now) const;
-    /// Takes in what another instance told at `as_of`.
+    /// Merges what another instance reported as of `as_of`.
     void take(const CrashUpdate& news, TimePoint as_of, TimePoint now);
 
-    /// Takes in that the platform records a request as blocked.
+    /// Records that the platform has a record of a request as blocked.
     void recorded(std::string_view request, TimePoint now);
-    /// Takes in that it does so no longer: its lease is over, or an operator
-    /// took it away. Then nothing is known of the request.
+    /// Records that the platform's record is gone: its lease expired, or an
+    /// operator removed it. Everything known of the request is dropped.
     void unrecorded(std::string_view request);
-    /// Takes in all requests that the platform records.
+    /// Drops the recorded requests that are not in `requests`, the complete set
+    /// of the platform's records.
     void recorded_only(const std::set<std::string>& requests);
-    /// Returns the blocked requests that are not recorded.
+    /// Returns the blocked requests that the platform has no record of yet.
     std::vector<std::string> to_record(TimePoint now) const;
-    /// Returns the recorded requests that were answered since: their records
-    /// are to go.
+    /// Returns the recorded requests that were answered since. Their records
+    /// are to be removed.
     std::vector<std::string> to_unrecord() const;
 
 private:
@@ -140,13 +144,14 @@
         TimePoint learned_at{};
     };
     struct Request {
-        std::vector<End> ends; ///< The newest ones, in order of learning.
+        /// The newest ones, in the order in which they were learned.
+        std::vector<End> ends;
         std::optional<TimePoint> answered_at;
         TimePoint answer_learned_at{};
         std::optional<TimePoint> recorded_at;
         std::optional<TimePoint> held_at; ///< See hold().
-        TimePoint told_until{};           ///< There may be news of it before.
-        TimePoint last_at{};       ///< Of the last end, or of its record.
+        TimePoint told_until{};           ///< It is reported to others before.
+        TimePoint last_at{};       ///< Time of the last end, or of its record.
         bool told_blocked = false; ///< See take_newly_blocked().
 
         bool counts(const End& end) const;
@@ -172,11 +177,12 @@
     void note_answer(std::string_view request, TimePoint at);
 
     Requests m_requests; ///< By digest.
-    /// When other requests were answered, by digest, and in order of that.
+    /// Answer times of the requests that are not in m_requests, by digest, and
+    /// these digests in order of insertion.
     std::map<std::string, TimePoint, std::less<>> m_answers;
     std::deque<std::string> m_answer_order;
-    /// Until then there may be news to tell; most of the time there are none,
-    /// and they are asked for up to 200 times a second.
+    /// Time until which there may be something to report. Usually there is
+    /// nothing, and news() is called up to 200 times a second.
     TimePoint m_news_until{};
 };
 
--- a/src/include/crosslink/forward/event_tracker.h
+++ b/src/include/crosslink/forward/event_tracker.h
@@ -11,31 +11,32 @@
 namespace crosslink
 {
 
-/// Follows a stream of events (text/event-stream) over several runs of it,
-/// and lets through only whole events, each once, in order.
+/// Tracks a stream of events (text/event-stream) over several runs, and passes
+/// on only complete events, each once and in order.
 class EventTracker
 {
 public:
-    /// `last_event` is the number of the last event that the caller has from
-    /// an earlier call; nothing where it has none.
+    /// `last_event` is the number of the last event that the caller received in
+    /// an earlier call, or nothing if it received none.
     explicit EventTracker(std::optional<std::uint64_t> last_event);
 
-    /// Takes in bytes of the current run. Returns the whole events that the
+    /// Adds bytes of the current run. Returns the complete events that the
     /// caller does not have yet.
     std::string take(std::string_view bytes);
-    /// Begins with another run that goes on after last_event(); what the
-    /// earlier one left unfinished is dropped.
+    /// Starts another run, which continues after last_event(). An incomplete
+    /// event of the previous run is dropped.
     void begin_run();
-    /// Returns the number of the last event let through.
+    /// Returns the number of the last event that was passed on.
     std::optional<std::uint64_t> last_event() const { return m_last; }
-    /// True where the bytes taken end within an event.
+    /// Returns whether the bytes so far end within an event.
     bool within_event() const { return !m_rest.empty(); }
-    /// True where a run left out an event: the stream is not to be used.
+    /// Returns whether a run skipped an event. The stream must not be used
+    /// then.
     bool gap() const { return m_gap; }
 
 private:
     std::optional<std::uint64_t> m_last;
-    std::string m_rest; ///< The beginning of an event.
+    std::string m_rest; ///< The beginning of an incomplete event.
     bool m_gap = false;
 };
 
--- a/src/include/crosslink/forward/fair_share_tracker.h
+++ b/src/include/crosslink/forward/fair_share_tracker.h
@@ -12,27 +12,27 @@
 namespace crosslink
 {
 
-/// Which client accounts have had more than their part of what limited runners
-/// of a service take. Answers an account that sends ten times as many calls as
-/// the others: where calls are taken as they come, it would get ten times as
-/// many places.
+/// Tracks how many calls of each client account the limited runners of a
+/// service accept, and tells which accounts are above their fair share. Without
+/// it, an account that sends ten times as many calls as the others would get
+/// ten times as many places, because calls are served in order of arrival.
 class FairShareTracker
 {
 public:
-    /// Takes note that a call of `account` asks for a place.
+    /// Records that a call of `account` requests a place.
     void asked(std::string_view service, std::string_view account,
                TimePoint now);
-    /// Takes note that a call of `account` got one.
+    /// Records that a call of `account` was granted a place.
     void taken(std::string_view service, std::string_view account,
                TimePoint now);
-    /// Returns whether `account` lately got more places than the mean of those
-    /// that asked.
+    /// Returns whether `account` was recently granted more places than the mean
+    /// of the accounts that recently requested one.
     bool is_ahead(std::string_view service, std::string_view account,
                   TimePoint now) const;
 
 private:
     struct Use {
-        double places = 0; ///< Got lately; halves with time.
+        double places = 0; ///< Granted; decays exponentially.
         TimePoint counted_at{};
         TimePoint asked_at{};
     };
--- a/src/include/crosslink/forward/forwarded_call.h
+++ b/src/include/crosslink/forward/forwarded_call.h
@@ -24,17 +24,18 @@
     bool operator==(const PromptPart&) const = default;
 };
 
-/// What a call asks of a model engine, as far as routing needs it.
+/// What routing needs to know of a call to a model engine.
 struct Generation {
     std::string model;
     std::uint32_t prompt_tokens = 0;
-    std::uint32_t most_tokens = 0; ///< The most that it generates.
+    std::uint32_t most_tokens = 0; ///< Maximum number of generated tokens.
     /// In order; the last one belongs to the caller's session alone.
     std::vector<PromptPart> parts;
 
-    /// Returns the tokens of KV memory that it surely takes. What it generates
-    /// comes later and is known by its bound alone, which may be far off: were
-    /// that counted, idle runners would seem full.
+    /// Returns the tokens of KV memory that the call is certain to need. The
+    /// tokens that it generates come later, and only their upper bound is
+    /// known, which may be far too high: if it were counted, idle runners would
+    /// seem full.
     std::uint64_t resident_tokens() const { return prompt_tokens; }
     /// Returns the parts that other calls may share.
     std::span<const PromptPart> shared_parts() const
@@ -44,20 +45,20 @@
     }
 };
 
-/// A call that is passed on without a look into its body.
+/// A call that is forwarded without inspecting its body.
 struct ForwardedCall {
-    std::string id; ///< The caller's, unique for each of its attempts.
+    std::string id; ///< Set by the caller; unique for each attempt.
     std::string method;
     std::string target; ///< Path and query.
     std::string host;
     std::string api_key;
-    /// Headers that travel with the call, in the caller's order.
+    /// Headers that are forwarded with the call, in the caller's order.
     std::vector<HeaderField> headers;
     std::string body;
-    Micros time_allowed{0}; ///< How long the caller waits from received_at.
+    Micros time_allowed{0}; ///< How long the caller waits, from received_at on.
     TimePoint received_at{};
     std::optional<Generation> generation;
-    /// Number of the last event that the caller has of a broken stream.
+    /// Number of the last event that the caller received of a broken stream.
     std::string last_event;
 
     /// Returns the path without the query.
--- a/src/include/crosslink/forward/holding_time.h
+++ b/src/include/crosslink/forward/holding_time.h
@@ -10,18 +10,19 @@
 namespace crosslink
 {
 
-/// How long calls of a service keep the KV memory that they take, learned from
-/// those that ended: runners differ, and busy ones generate more slowly.
+/// Estimates how long calls of a service hold their KV memory. The estimate is
+/// learned from calls that ended, because runners differ and busy ones generate
+/// more slowly.
 class HoldingTime
 {
 public:
-    /// Takes note of a call that took `resident` tokens for `span`.
+    /// Adds a call that held `resident` tokens for `span`.
     void add(std::uint64_t resident, Micros span);
-    /// Returns the mean for a token, of the latest calls.
+    /// Returns the mean of the recent calls, weighted by their tokens.
     Micros mean() const;
 
 private:
-    /// Sums whose older samples fade.
+    /// Sums in which older samples decay.
     double m_tokens = 0;
     double m_token_seconds = 0;
 };
--- a/src/include/crosslink/forward/load_aggregator.h
+++ b/src/include/crosslink/forward/load_aggregator.h
@@ -14,30 +14,31 @@
 namespace crosslink
 {
 
-/// What an instance told longer ago says nothing of now; it is told several
-/// times a second.
+/// Time after which the load that an instance reported is outdated. Instances
+/// report several times a second.
 constexpr Micros load_holds = std::chrono::seconds(1);
 
 /// Adds `load` to `sum`, runner by runner.
 void add_load(std::map<std::string, RunnerLoad>& sum,
               const std::map<std::string, RunnerLoad>& load);
 
-/// Takes `load`, which is part of it, out of `sum`.
+/// Subtracts `load`, which is part of `sum`, from `sum`.
 void remove_load(std::map<std::string, RunnerLoad>& sum,
                  const std::map<std::string, RunnerLoad>& load);
 
-/// The load that each instance gives to each runner, as the instances tell it
-/// a few times a second.
+/// Adds up the load that each instance puts on each runner. Instances report
+/// theirs a few times a second.
 class LoadAggregator
 {
 public:
-    /// Takes in what `instance` has under way.
+    /// Replaces the load that `instance` reported.
     void told(std::string_view instance,
               const std::map<std::string, RunnerLoad>& own, TimePoint now);
-    /// Returns the sum of what all others told lately, by runner.
+    /// Returns the sum of what all other instances reported recently, by
+    /// runner.
     std::map<std::string, RunnerLoad> others(std::string_view instance,
                                              TimePoint now);
-    /// Returns the sum of what all told lately, by runner.
+    /// Returns the sum of what all instances reported recently, by runner.
     std::map<std::string, RunnerLoad> sum(TimePoint now)
     {
         return others({}, now);
@@ -52,8 +53,8 @@
     void expire(TimePoint now);
 
     std::map<std::string, Told, std::less<>> m_instances;
-    /// Of all instances, kept up with each word: it is asked for by each of
-    /// them, 16 times a second.
+    /// Sum over all instances, updated with each report. Each instance requests
+    /// it 16 times a second.
     std::map<std::string, RunnerLoad> m_sum;
 };
 
--- a/src/include/crosslink/forward/queue_limit.h
+++ b/src/include/crosslink/forward/queue_limit.h
@@ -11,36 +11,36 @@
 namespace crosslink
 {
 
-/// A caller that was refused comes back after this time at least.
+/// Minimum time after which a refused caller may retry.
 inline constexpr Micros min_retry_delay = std::chrono::milliseconds(250);
 
-/// Returns a time from `earliest` to twice that, and at most 5 s later, by
-/// `random` bits: callers that were refused together would be refused together
-/// again.
+/// Returns a delay from `earliest` to twice that, but at most 5 s more, with
+/// jitter from `random` bits: callers that were refused together would
+/// otherwise retry together and be refused again.
 Micros jittered_retry_delay(Micros earliest, std::uint64_t random);
 
 /// A call for a model that may be sent to a runner now.
 struct QueuedCall {
-    /// Until the runner that was chosen takes it up. The time for its own
+    /// Until the chosen runner starts on the call. The prefill time of its own
     /// prompt does not count: large prompts would be refused first.
     Micros expected_wait{0};
-    Micros objective{0}; ///< From its arrival to its first event; 0 for none.
+    Micros objective{0}; ///< From arrival to first event; 0 for none.
     Micros waited{0};    ///< Since its arrival.
 };
 
-/// Keeps the queues of runners short. Answers load that is greater than what
-/// the runners' memory holds: a third of them lost, or callers that come back
-/// all at once after all instances were gone. Without it all calls wait at the
-/// runners for as long as the first ones do, each answer is late, and the queue
-/// outlasts the load by ten seconds and more, as callers that were not answered
-/// in time repeat. A call that would make such a queue longer is refused at
-/// once, so that those that are taken come in time. All callers are judged
-/// alike, whether they come for the first time or again.
+/// Keeps the queues of runners short when the load exceeds what the runners'
+/// memory holds: after the loss of a third of them, or when callers return all
+/// at once after an outage of all instances. Without it, all calls wait at the
+/// runners as long as the first ones do, every answer is late, and the queue
+/// outlasts the overload by ten seconds and more, because callers that were not
+/// answered in time retry. A call that would make such a queue longer is
+/// refused at once, so that the accepted ones are answered in time. First
+/// attempts and retries are treated alike.
 class QueueLimit
 {
 public:
-    /// Returns nothing where `call` is sent; else the time after which its
-    /// caller may come back, spread by `random` bits.
+    /// Returns nothing if `call` is to be sent, else the delay after which its
+    /// caller may retry, with jitter from `random` bits.
     static std::optional<Micros> refusal(const QueuedCall& call,
                                          std::uint64_t random);
 };
--- a/src/include/crosslink/forward/rate_limit.h
+++ b/src/include/crosslink/forward/rate_limit.h
@@ -8,7 +8,7 @@
 namespace crosslink
 {
 
-/// What a runner takes that names no limit, in calls a second.
+/// Rate limit of a runner that advertises none, in calls a second.
 inline constexpr double no_rate_limit = std::numeric_limits<double>::infinity();
 
 } // namespace crosslink
--- a/src/include/crosslink/forward/rate_share.h
+++ b/src/include/crosslink/forward/rate_share.h
@@ -10,34 +10,36 @@
 namespace crosslink
 {
 
-/// How the calls to one runner that bears only so many are divided among
-/// instances. Instances know each other's calls only as they were 0.2 s ago, so
-/// that all of them would send at once where it has room. A few instances have
-/// a share each, so that no word between them is needed; equal shares of all
-/// instances of a large fleet would be less than a call each.
+/// How the calls to a runner with a rate limit are divided among instances.
+/// Instances know each other's calls only as of 0.2 s ago, so that all of them
+/// would send at once when the runner has room. A few instances therefore have
+/// a share each, which needs no communication. Equal shares for all instances
+/// of a large fleet would be less than one call each.
 struct RateShare {
-    std::size_t instances = 0; ///< That send to it, the first by rendezvous.
-    std::size_t calls = 0;     ///< That each of them may send in a window.
+    std::size_t instances = 0; ///< Number that send to it, by rendezvous.
+    std::size_t calls = 0;     ///< Calls that each may send in a window.
     Micros window{0};
 };
 
 /// Returns how `limit`, the calls that the whole fleet may send to a runner in
-/// any second while it warms up, is divided where `present` instances (at least
-/// 1) stand near it. Answers many runners that come back together, idle and
-/// cold. Half of the limit is given out, so that it holds where a cut lets
-/// twice as many instances take themselves for those few.
+/// any second while it warms up, is divided if `present` instances (at least 1)
+/// are near it. This covers many runners that return together, idle and cold.
+/// Only half of the limit is given out, so that it holds when a network
+/// partition makes twice as many instances consider themselves entitled to a
+/// share.
 RateShare warm_up_share(double limit, std::size_t present);
 
-/// Returns how `per_second`, the calls that a runner in need takes by its own
-/// word, are divided where `present` instances (at least 1) stand near it.
-/// Nearly all of it is given out: the bound is a mean over seconds. However
-/// little it takes, it gets a call now and then, whose answer tells whether the
-/// limit still holds.
+/// Returns how `per_second`, the limit that an overloaded runner advertises, is
+/// divided if `present` instances (at least 1) are near it. Nearly all of it is
+/// given out, because the limit is a mean over seconds. However low the limit,
+/// the runner gets an occasional call, whose answer tells whether the limit
+/// still holds.
 RateShare named_limit_share(double per_second, std::size_t present);
 
-/// Returns how long nothing may be heard of a runner with that limit while its
-/// shares are in use. After it, it is asked by the next call, and now and then
-/// by instances without a share: those that have one may have no callers.
+/// Returns how long a runner with that limit may go without an answer while its
+/// shares are in use. After that, the next call is sent to it, and now and then
+/// a call of an instance without a share, since the instances that have one may
+/// have no callers.
 Micros longest_silence(double per_second);
 
 } // namespace crosslink
--- a/src/include/crosslink/forward/retry_window.h
+++ b/src/include/crosslink/forward/retry_window.h
@@ -14,26 +14,26 @@
 namespace crosslink
 {
 
-/// How many repeats the whole fleet may send to a service.
+/// Limits on the retries that the whole fleet sends to a service.
 struct RetryRules {
-    double ratio = 0.2;    ///< Repeats for each call of the window.
-    double allowance = 50; ///< Repeats beside those, in a window.
+    double ratio = 0.2;    ///< Retries per call in the window.
+    double allowance = 50; ///< Further retries in each window.
     Micros window = std::chrono::seconds(10);
 };
 
-/// This instance's part of the fleet's retry budget. Instances do not talk
-/// about it: each gives out repeats in proportion to its own calls, and an
-/// equal share of the allowance. Only half of both is given out, because
-/// the number of instances may be off by those that just came or went.
+/// This instance's part of the fleet's retry budget. Instances do not
+/// communicate about it: each grants retries in proportion to its own calls,
+/// plus an equal share of the allowance. Only half of both is granted, because
+/// the known number of instances may be off by those that just joined or left.
 class RetryWindow
 {
 public:
     explicit RetryWindow(RetryRules rules) : m_rules(rules) {}
 
-    /// Takes note of a call for `service`.
+    /// Records a call for `service`.
     void called(std::string_view service, TimePoint now);
-    /// Returns whether a repeat may be sent to `service` while the fleet has
-    /// `instances` (at least 1), and takes it from the budget.
+    /// Returns whether a retry may be sent to `service` while the fleet has
+    /// `instances` (at least 1), and deducts it from the budget.
     bool take(std::string_view service, std::size_t instances, TimePoint now);
 
 private:
--- a/src/include/crosslink/forward/runner_entry.h
+++ b/src/include/crosslink/forward/runner_entry.h
@@ -16,7 +16,7 @@
 namespace crosslink
 {
 
-/// A model with the version of its weights that a runner has in memory.
+/// A model that a runner has in memory, with the version of its weights.
 struct LoadedModel {
     std::string model;
     std::uint64_t version = 0;
@@ -24,35 +24,37 @@
 
 /// One process that runs calls of a service, as the platform lists it.
 struct ListedRunner {
-    std::string id; ///< May be that of an earlier process.
-    /// Unix milliseconds of its start: tells its incarnations apart. 0 where it
-    /// is not told.
+    std::string id; ///< May have belonged to an earlier process.
+    /// Start time in Unix milliseconds, which tells its incarnations apart; 0
+    /// if it is unknown.
     std::uint64_t start_ms = 0;
     std::string service;
-    std::string address; ///< "ip:port"; may be used again by another one.
+    std::string address; ///< "ip:port"; another process may reuse it.
     std::string zone;
     std::uint32_t slots = 1; ///< Calls that it works on at once.
-    bool leaving = false;    ///< It said that it will end.
-    /// It bears little for so long, counted from when it said so.
+    bool leaving = false;    ///< It announced that it will end.
+    /// Time for which it warms up and accepts few calls, counted from its
+    /// report.
     Micros cold_for{0};
     std::vector<LoadedModel> models;
 };
 
-/// One process among those that have, or had, the same id.
+/// One of the processes that have, or had, the same id.
 struct RunnerIncarnation {
     std::string_view id;
     std::uint64_t start_ms = 0; ///< See ListedRunner.
 };
 
-/// Calls under way at a runner.
+/// Load of the calls in flight at a runner.
 struct RunnerLoad {
     std::uint32_t calls = 0;
-    std::uint64_t tokens = 0; ///< Of their prompts, not read yet.
-    /// Tokens of KV memory that they take until they end.
+    std::uint64_t tokens = 0; ///< Prompt tokens that are not prefilled yet.
+    /// Tokens of KV memory that the calls hold until they end.
     std::uint64_t resident = 0;
 
     bool operator==(const RunnerLoad&) const = default;
-    /// Adds one call that has `tokens_in` to be read and takes `resident_in`.
+    /// Adds one call with `tokens_in` tokens to prefill and `resident_in`
+    /// tokens of KV memory.
     void add(std::uint64_t tokens_in, std::uint64_t resident_in)
     {
         ++calls;
@@ -61,35 +63,36 @@
     }
 };
 
-/// A runner with what this instance knows from its own calls.
+/// A runner with what this instance knows of it.
 struct RunnerEntry {
     ListedRunner listed;
-    /// Weights by the runner's own word in answers and reports, or the
-    /// holder's of the duty that asked it. The list lags behind them.
+    /// Weights that the runner stated in answers and reports, to this instance
+    /// or to the holder of the duty that asked it. The platform's list lags
+    /// behind them.
     std::vector<LoadedModel> reported_models;
     RunnerLoad own;             ///< Calls of this instance.
-    RunnerLoad others;          ///< Of all other instances, as they told it.
-    RunnerLoad unreported_load; ///< Of this instance, sent since then.
-    std::uint32_t failures = 0; ///< In a row.
-    TimePoint held_until{};     ///< It gets nothing before.
-    TimePoint cold_until{};     ///< It bears little before, by its own word.
-    /// When it last took no connection or broke one off: it may start anew.
+    RunnerLoad others;          ///< Of all other instances, as reported.
+    RunnerLoad unreported_load; ///< Of this instance, sent since that report.
+    std::uint32_t failures = 0; ///< One less with each success.
+    TimePoint held_until{};     ///< It gets no calls before.
+    TimePoint cold_until{};     ///< It warms up until then, by its own report.
+    /// When it last refused or broke a connection; it may be restarting.
     std::optional<TimePoint> connection_failed_at;
     RunnerNotices notices;
-    SendWindow sends; ///< Of this instance.
-    /// Calls of it that are about to be sent, or wait for their time.
+    SendWindow sends; ///< Calls sent by this instance.
+    /// Calls of this instance that are about to be sent or wait for their time.
     std::uint32_t reserved = 0;
-    /// It is no longer listed, and taken as gone from then on, unless it is
-    /// listed again.
+    /// Set if it is no longer listed: it counts as gone from then on, unless it
+    /// is listed again.
     std::optional<TimePoint> gone_at;
 
-    /// Returns the version of `model` that it is known to have; 0 where it has
-    /// it not.
+    /// Returns the version of `model` that it is known to have, or 0 if it does
+    /// not have the model.
     std::uint64_t version_of(std::string_view model) const;
-    /// Returns whether its process will end: by the platform's list, or by its
-    /// own word, which the list lags behind.
+    /// Returns whether its process will end, by the platform's list or by its
+    /// own announcement, which the list lags behind.
     bool leaves() const { return listed.leaving || notices.leaving; }
-    /// Returns which process the entry is of.
+    /// Returns the process that the entry describes.
     RunnerIncarnation incarnation() const
     {
         return {listed.id, listed.start_ms};
--- a/src/include/crosslink/forward/runner_notices.h
+++ b/src/include/crosslink/forward/runner_notices.h
@@ -12,35 +12,36 @@
 namespace crosslink
 {
 
-/// What one process of a runner said of itself in its answers. It holds for
-/// that process, whatever its entry of the platform's list says or whether it
-/// has one: entries are renewed by rote, lapse, and can't be read or written
-/// while the platform is away. The next process under the same id starts
-/// without any.
+/// Notices that one process of a runner gave about itself in its answers. They
+/// hold for that process, whatever its entry in the platform's list says or
+/// whether it has one: entries are renewed automatically, expire, and can't be
+/// read or written while the platform is unreachable. The next process under
+/// the same id starts without any.
 struct RunnerNotices {
-    bool leaving = false; ///< It will end: nothing new is sent to it.
-    /// It wants nothing from this instance before.
+    bool leaving = false; ///< It will end: no new calls are sent to it.
+    /// It requested no calls from this instance before.
     TimePoint backoff_until{};
-    AdvertisedLimit limit; ///< What it takes from all instances together.
-    TimePoint heard_at{};  ///< When it last said any of it.
+    AdvertisedLimit limit; ///< Calls accepted from all instances together.
+    TimePoint heard_at{};  ///< When the latest one was given.
 
-    /// Returns whether it has said nothing that is of use later.
+    /// Returns whether there is nothing that matters later.
     bool empty() const
     {
         return !leaving && backoff_until == TimePoint{} && limit.change() == 0;
     }
 };
 
-/// A process of which an instance tells another that it leaves, by its own
-/// word.
+/// A process that announced that it leaves, as one instance reports it to
+/// another.
 struct LeavingUpdate {
     std::string runner;
     std::uint64_t start_ms = 0; ///< Its incarnation.
 };
 
-/// Returns when the `backoff` is over that a runner asked for at `now`: not
-/// sooner, and at most an eighth of it, or a second, later, by `random` bits. A
-/// runner that asked many instances does not get calls of all of them at once.
+/// Returns when a `backoff` that a runner requested at `now` is over: not
+/// sooner, and later by at most an eighth of it and at most a second, with
+/// jitter from `random` bits. A runner that requested it of many instances does
+/// not get calls from all of them at once.
 TimePoint backoff_end(Micros backoff, TimePoint now, std::uint64_t random);
 
 } // namespace crosslink
--- a/src/include/crosslink/forward/runner_price.h
+++ b/src/include/crosslink/forward/runner_price.h
@@ -14,55 +14,55 @@
 namespace crosslink
 {
 
-// The price of a runner is the time, in milliseconds, by which a call is
-// expected to be answered later there than at an idle runner that is best for
-// it in all else.
+// The price of a runner is the expected delay, in milliseconds, with which it
+// answers a call compared to an idle runner that is best for the call in all
+// other respects.
 
-/// The runner that calls with the same shared parts prefer: it may still
-/// have them in memory, which saves a fetch.
+/// Deducted for the runner that calls with the same shared parts prefer: it may
+/// still have the parts in memory, which saves a fetch.
 inline constexpr double affinity_ms = 20;
-/// A zone one of whose runners says nothing: a call that is sent there waits
-/// 400 ms for a connection, or seconds for an answer.
+/// Added for runners of a zone in which one does not respond: a call that is
+/// sent there waits 400 ms for a connection, or seconds for an answer.
 inline constexpr double silent_zone_ms = 400;
-/// A runner that took no connection, or broke one off, a moment ago: what is
+/// Added for a runner that refused or broke a connection a moment ago: calls
 /// sent there may be broken off too, and can't always be sent again.
 inline constexpr double lost_contact_ms = 400;
 
-/// So many instances may see the same runner as the best one at a time.
+/// Number of instances that may see the same runner as the best one at a time.
 inline constexpr std::size_t most_choosers = 4;
 
-/// What is known of the load of all runners of a service.
+/// What is known of the load on all runners of a service.
 struct FleetLoad {
-    /// The load of other instances is known; else it is estimated.
+    /// Whether the load of other instances is known; if not, it is estimated.
     bool others_known = false;
-    /// Time since others gave the load that they told.
+    /// Age of the load that other instances reported.
     Micros others_age{0};
-    /// How long a call takes its memory.
+    /// How long a call holds its KV memory.
     Micros holding_time{0};
 };
 
-/// Returns `load` without the prompts that are read by now, where it was told
-/// `age` ago.
+/// Returns `load`, reported `age` ago, without the prompt tokens that have been
+/// prefilled since.
 std::map<std::string, RunnerLoad>
 aged_load(std::map<std::string, RunnerLoad> load, Micros age);
 
-/// Returns the time in which a runner reads a prompt of `tokens`.
+/// Returns the time that a runner takes to prefill a prompt of `tokens`.
 Micros reading_time(std::uint64_t tokens);
 
-/// Returns how long a runner is expected to need before it takes up a call,
-/// from its load as far as that is known: until the prompts before it are read,
-/// and until calls end whose KV memory it needs.
+/// Returns the expected time until a runner starts on a call, as far as its
+/// load is known: until the prompts before it are prefilled, and until enough
+/// calls end to free the KV memory that it needs.
 Micros expected_wait(const RunnerEntry& entry, const RunnerQuery& query,
                      const FleetLoad& fleet);
 
-/// Returns the price of a runner by its load, its weights and its zone. The
-/// table applies affinity_ms, silent_zone_ms and lost_contact_ms, which depend
-/// on more.
+/// Returns the price of a runner from its load, its weights and its zone.
+/// RunnerTable applies affinity_ms, silent_zone_ms and lost_contact_ms, which
+/// depend on further state.
 double price_ms(const RunnerEntry& entry, const RunnerQuery& query,
                 const FleetLoad& fleet);
 
-/// Returns by how much prices are spread at random, so that instances do not
-/// all choose the same runner.
+/// Returns the maximum random addition to a price, which keeps instances from
+/// all choosing the same runner.
 double spread_ms(const RunnerQuery& query);
 
 } // namespace crosslink
--- a/src/include/crosslink/forward/unlisted_notices.h
+++ b/src/include/crosslink/forward/unlisted_notices.h
@@ -14,20 +14,20 @@
 namespace crosslink
 {
 
-/// What processes said of themselves that the platform does not list now. An
-/// entry may lapse and come back while its process lives on.
+/// Notices of processes that the platform does not list now. An entry may
+/// expire and return while its process is running.
 class UnlistedNotices
 {
 public:
-    /// Keeps what the process said, where it said anything.
+    /// Stores the notices of the process, unless they are empty.
     void keep(const RunnerIncarnation& runner, const RunnerNotices& notices);
-    /// Returns what the process said, and lets go of that and of what earlier
-    /// ones under its id said.
+    /// Returns the notices of the process, and discards them along with those
+    /// of earlier processes under its id.
     RunnerNotices take(const RunnerIncarnation& runner);
-    /// Returns the words of the process, to be added to; null where a later one
-    /// under its id has said something.
+    /// Returns the stored notices of the process, to be updated; null if a
+    /// later process under its id has given some.
     RunnerNotices* find(const RunnerIncarnation& runner);
-    /// Forgets those of which nothing is to be expected any more at `now`.
+    /// Discards the notices that are not needed any more at `now`.
     void expire(TimePoint now);
 
 private:
--- a/src/include/crosslink/forward/unresolved_failures.h
+++ b/src/include/crosslink/forward/unresolved_failures.h
@@ -18,7 +18,7 @@
 
 struct RunnerIncarnation;
 
-/// A call that its runner broke off or failed, of which it is not known yet
+/// A call that its runner broke off or failed, for which it is not yet known
 /// whether the runner's process ended.
 struct UnresolvedFailure {
     std::string request; ///< See request_digest().
@@ -27,50 +27,53 @@
     std::string address;        ///< "ip:port".
     bool again = false;         ///< See InterruptedCall.
     TimePoint broke_at{};
-    /// Its port is looked at: the connection broke. One that answered that the
-    /// call failed is not, since some services often do so.
+    /// Whether the runner's port is probed: only if the connection broke. A
+    /// runner that answered with a failure is not probed, since some services
+    /// often do so.
     bool is_looked_at = false;
 };
 
-/// A process at whose port is to be looked.
+/// A process whose port is to be probed.
 struct ProbeTarget {
     std::string runner;
     std::uint64_t start_ms = 0;
     std::string address;
 };
 
-/// Calls that wait for a verdict on their runner's process. A process that ends
-/// in steps breaks its calls first, and closes its port up to seconds later; on
-/// a machine that lost power it never does, and one that a supervisor starts
-/// again is back on its port in milliseconds. What comes later tells: the port
-/// refuses, a new process is listed under the id or at the address, or the
-/// runner is no longer listed though it did not say that it leaves. No caller
-/// waits for that.
+/// Failed calls for which it is undecided whether the runner's process ended. A
+/// process that shuts down in steps breaks its calls first and closes its port
+/// up to seconds later. On a machine that lost power, the port never refuses a
+/// connection, and a process that a supervisor restarts is back on its port
+/// within milliseconds. Later observations decide: the port refuses a
+/// connection, a new process is listed under the id or at the address, or the
+/// runner is no longer listed although it did not announce that it leaves. No
+/// caller waits for the decision.
 ///
-/// A break of which nothing more is learned is no end: connections break for
-/// other reasons.
+/// A failure without any such observation does not count as the end of a
+/// process, since connections break for other reasons too.
 class UnresolvedFailures
 {
 public:
-    /// A verdict may come so long after the break: a runner's entry goes three
-    /// heartbeats after its last, and a new one comes with the first of the new
-    /// process.
+    /// Time after a failure within which it is decided. A runner's entry
+    /// expires three heartbeats after the last one, and a new entry appears
+    /// with the first heartbeat of the new process.
     static constexpr Micros open_for = std::chrono::seconds(6);
-    /// Breaks that are kept; the oldest give way.
+    /// Maximum number of failures that are kept; the oldest are dropped.
     static constexpr std::size_t most_open = 512;
-    /// A port is looked at so often at most, whatever breaks there.
+    /// Minimum interval between probes of a port, however many calls fail
+    /// there.
     static constexpr Micros look_pause = std::chrono::milliseconds(500);
-    /// Runners that go within this time of each other may have been cut off
-    /// together.
+    /// Runners that disappear within this time of each other may have been cut
+    /// off together.
     static constexpr Micros gone_together = std::chrono::milliseconds(1500);
 
-    /// Takes in a break, or a call that failed. Returns whether its process is
-    /// known to have ended: ended() is to be asked for the verdict then.
+    /// Adds a broken or failed call. Returns whether its process is known to
+    /// have ended; ended() must then be called for the calls concerned.
     bool add(UnresolvedFailure call, TimePoint now);
-    /// Returns whether one of a request is open.
+    /// Returns whether a failure of `request` is undecided.
     bool has(std::string_view request, TimePoint now) const;
-    /// Takes in that a process ended, as was learned at `now`. Returns the
-    /// calls that count as under way at its end.
+    /// Records that a process ended, as learned at `now`. Returns the calls
+    /// that count as in flight at its end.
     std::vector<InterruptedCall> ended(const RunnerIncarnation& runner,
                                        TimePoint now);
     /// As ended(), for all other processes that were at `address`, where
@@ -78,30 +81,31 @@
     std::vector<InterruptedCall> replaced_at(std::string_view address,
                                              const RunnerIncarnation& runner,
                                              TimePoint now);
-    /// Takes in that a process leaves as planned: what broke there is no end.
+    /// Records that a process leaves as planned. Its failed calls are dropped.
     void leaves(const RunnerIncarnation& runner);
-    /// Takes in that a process answered a call that was sent at `sent_at`: it
-    /// lives on, and what broke before is no end.
+    /// Records that a process answered a call that was sent at `sent_at`. The
+    /// process is alive, so that its earlier failures are dropped.
     void lives(const RunnerIncarnation& runner, TimePoint sent_at);
-    /// Takes in that a runner is no longer listed, one of `of_zone` in its
-    /// zone. The verdict comes with take_gone(): where more than a third of a
-    /// zone goes at a time, the zone was cut off, and they live on.
+    /// Records that a runner, one of `of_zone` in its zone, is no longer
+    /// listed. take_gone() decides later: if more than a third of a zone
+    /// disappears at a time, the zone was cut off and its runners are still
+    /// alive.
     void gone(const RunnerIncarnation& runner, std::string_view zone,
               std::size_t of_zone, TimePoint now);
-    /// Returns the calls under way at runners that went by themselves.
+    /// Returns the calls in flight at runners that disappeared on their own.
     std::vector<InterruptedCall> take_gone(TimePoint now);
 
-    /// Returns the processes at whose ports to look now, and counts them as
-    /// looked at.
+    /// Returns the processes whose ports are to be probed now, and counts them
+    /// as probed.
     std::vector<ProbeTarget> take_due(TimePoint now);
-    /// Returns when something is to be done next; nothing where nothing is.
+    /// Returns when the next probe or decision is due, or nothing if none is.
     std::optional<TimePoint> next_due() const;
     bool empty() const { return m_breaks.empty(); }
 
 private:
     struct Open {
         UnresolvedFailure call;
-        std::size_t looks = 0; ///< That were made since.
+        std::size_t looks = 0; ///< Probes made so far.
     };
     struct Ended {
         std::string runner;
@@ -121,10 +125,10 @@
     bool has_ended(const RunnerIncarnation& runner) const;
     void expire(TimePoint now);
 
-    std::vector<Open> m_breaks; ///< In the order of their coming.
+    std::vector<Open> m_breaks; ///< In order of arrival.
     std::vector<Gone> m_gone;   ///< Of the last seconds.
     std::vector<Gone> m_undecided;
-    /// Processes that ended a moment ago: a break may be seen later.
+    /// Processes that ended recently. A failed call may be reported later.
     std::vector<Ended> m_ended;
 };
 
