--- a/src/libcrosslink/forward/advertised_limit.cpp
+++ b/src/libcrosslink/forward/advertised_limit.cpp
@@ -9,8 +9,9 @@
 namespace
 {
 
-/// An instance that was cut off for less than this hears of a limit's end from
-/// the others; one that was cut off for longer, from the runner.
+/// Time for which the end of a limit is reported to other instances. An
+/// instance that was cut off for less than this learns of the end from the
+/// others; one that was cut off for longer, from the runner.
 constexpr Micros end_told = std::chrono::seconds(60);
 
 } // namespace
--- a/src/libcrosslink/forward/crash_history.cpp
+++ b/src/libcrosslink/forward/crash_history.cpp
@@ -11,30 +11,31 @@
 namespace
 {
 
-/// Ends of one id that are less apart are the same end, seen by several
-/// instances, or by calls on connections that were kept from before it: a
-/// process takes longer to start and take a call.
+/// Ends under one runner id that are less than this apart are the same end,
+/// seen by several instances or on connections that were kept from before it: a
+/// process takes longer to start and accept a call.
 constexpr Micros same_end = std::chrono::seconds(2);
-/// A verdict on a runner comes in this time, or not at all.
+/// Time within which it is decided whether a runner ended, if at all.
 constexpr Micros verdict_time = std::chrono::seconds(6);
-/// For so long what was learned is told on. Two exchanges on the way up and two
-/// down take 0.6 s, one that fails on the way 0.4 s more.
+/// Time for which new information is reported to other instances. Two exchanges
+/// up the tree and two down take 0.6 s, and one that fails adds 0.4 s.
 constexpr Micros told_for = std::chrono::milliseconds(1500);
-/// So long where more than one runner ended: few requests, which zones that
-/// were cut off from each other must hear of when they meet again. With the
-/// shorter time, 300 instances sent one four times more after a cut of 5 s (in
-/// one of eight plays; three are allowed).
+/// The same if more than one runner ended. This concerns few requests, and
+/// zones that were cut off from each other must learn of them after the
+/// partition. With the shorter time, 300 instances sent such a request four
+/// more times after a partition of 5 s in one of eight simulations, where three
+/// are allowed.
 constexpr Micros suspect_told_for = std::chrono::seconds(15);
-/// Most calls that are told at once, those of the most suspect requests first.
-/// With 30 bytes each they are 5 KB, 4 ms on the weakest links.
+/// Maximum number of calls in one report, those of the most suspect requests
+/// first. At 30 bytes each they take 5 KB, or 4 ms on the slowest links.
 constexpr std::size_t most_told = 160;
-/// Ends of one request that are kept. More than the ones that block it, so that
-/// an answer in between leaves enough.
+/// Maximum number of ends kept for a request. It is more than the number that
+/// blocks one, so that enough of them remain if an answer came in between.
 constexpr std::size_t most_kept = 2 * CrashHistory::most_ends;
 
 } // namespace
 
-/// Returns whether an end came after the last whole answer.
+/// Returns whether an end came after the last complete answer.
 bool
 CrashHistory::Request::counts(const End& end) const
 {
@@ -49,7 +50,8 @@
                       [this](const End& end) { return counts(end); }));
 }
 
-/// Returns whether one of the calls was sent when another end was known.
+/// Returns whether one of the calls was sent when another end was already
+/// known.
 bool
 CrashHistory::Request::ended_again() const
 {
@@ -92,8 +94,8 @@
     return &found->second;
 }
 
-/// A process ends once. Where its start is not known, a later one of the same
-/// id is told by the time.
+/// A process ends only once. If its start time is unknown, the end of a later
+/// process with the same id is recognized by its time.
 bool
 CrashHistory::is_same_end(const End& known, const InterruptedCall& call)
 {
@@ -112,7 +114,8 @@
     for (End& known : request.ends) {
         if (!is_same_end(known, call))
             continue;
-        // Each way adds its delay: the shortest one is closest to the truth.
+        // Each path adds its delay, so that the earliest time is the most
+        // accurate.
         known.ended_at = std::min(known.ended_at, call.ended_at);
         known.again = known.again || call.again;
         return false;
@@ -122,7 +125,7 @@
     request.ends.push_back(
         {call.runner, call.start_ms, call.again, call.ended_at, now});
     request.last_at = std::max(request.last_at, call.ended_at);
-    // Who told of the end knows of no answer since.
+    // The instance that reported the end does not know of the later answer.
     if (!request.counts(request.ends.back()))
         request.answer_learned_at = now;
     learned(request, now);
@@ -140,7 +143,7 @@
     Request& known = found->second;
     if (known.answered_at && *known.answered_at >= at)
         return;
-    // One word in a while is enough for a request that many send.
+    // For a request that many callers send, an occasional report is enough.
     const bool is_news = known.counted() > 0 || known.record_holds();
     known.answered_at = at;
     if (!is_news)
@@ -162,10 +165,11 @@
     return requests;
 }
 
-/// Others may tell later that a runner had ended under the request. Without
-/// this, the fleet blocked a popular one for a moment where runners were lost
-/// in waves a second apart: of 71 instances, the few that served it then had
-/// heard of the first wave only after they had answers.
+/// Remembers the answer, because other instances may later report that a runner
+/// had ended under the request before. Otherwise the fleet would block a
+/// popular request for a moment when runners are lost in waves a second apart:
+/// of 71 instances, the few that serve it then learn of the first wave only
+/// after they got answers.
 void
 CrashHistory::note_answer(std::string_view request, TimePoint at)
 {
@@ -207,7 +211,7 @@
     return found == m_requests.end() ? 0 : found->second.counted();
 }
 
-/// Adds what was learned of `request` lately to `news`.
+/// Adds what was recently learned of `request` to `news`.
 void
 CrashHistory::add_news(const std::string& digest, const Request& request,
                        TimePoint now, CrashUpdate& news)
@@ -245,7 +249,7 @@
     return news;
 }
 
-/// Takes note that something was learned of `request` that is to be told on.
+/// Marks what was learned of `request` as to be reported to other instances.
 void
 CrashHistory::learned(Request& request, TimePoint now)
 {
@@ -311,7 +315,8 @@
     return requests;
 }
 
-/// Returns what is known of `request`, with room made for it where it is new.
+/// Returns what is known of `request`. A new request is added, in place of
+/// another one if necessary.
 CrashHistory::Request&
 CrashHistory::touch(std::string_view request, TimePoint now)
 {
@@ -336,8 +341,8 @@
     });
 }
 
-/// Forgets the request that is the least suspect: the one with the fewest ends,
-/// and of those the one of which nothing was heard for longest.
+/// Drops the least suspect request: one that is not blocked if possible, with
+/// the fewest ends, and of those the one that was updated least recently.
 void
 CrashHistory::make_room()
 {
--- a/src/libcrosslink/forward/event_tracker.cpp
+++ b/src/libcrosslink/forward/event_tracker.cpp
@@ -13,7 +13,7 @@
 constexpr std::string_view event_end = "\n\n";
 constexpr std::string_view id_field = "id:";
 
-/// Returns the number in the id field of `event`; nothing where it has none.
+/// Returns the number in the id field of `event`, or nothing if it has none.
 std::optional<std::uint64_t>
 number_of(std::string_view event)
 {
--- a/src/libcrosslink/forward/fair_share_tracker.cpp
+++ b/src/libcrosslink/forward/fair_share_tracker.cpp
@@ -13,11 +13,11 @@
 namespace
 {
 
-/// An account that asked for nothing in this time wants no part.
+/// Accounts that requested nothing in this time do not count.
 constexpr Micros wanting = std::chrono::seconds(5);
-/// Places that were got count half after this time.
+/// Half-life of granted places.
 constexpr Micros half_life = std::chrono::seconds(5);
-/// Part of a place by which accounts may be apart and still be alike.
+/// Part of a place by which accounts may differ and still count as equal.
 constexpr double tolerance = 0.1;
 
 double
--- a/src/libcrosslink/forward/holding_time.cpp
+++ b/src/libcrosslink/forward/holding_time.cpp
@@ -9,13 +9,14 @@
 namespace
 {
 
-/// Before the first calls ended: what a few hundred tokens of output take at 5
-/// to 10 ms each, right within a factor of two for engines of today.
+/// Estimate before the first calls ended: the time for a few hundred tokens of
+/// output at 5 to 10 ms each, which is right within a factor of two for current
+/// engines.
 constexpr double prior_seconds = 2;
-/// The prior counts as much as this many tokens of calls.
+/// Weight of this estimate, in tokens of calls.
 constexpr double prior_tokens = 20'000;
-/// What is left of older samples for each token of a newer one: an instance
-/// sends some 20,000 tokens a second, so that it forgets in some ten seconds.
+/// Time constant, in tokens, with which older samples decay. An instance sends
+/// some 20,000 tokens a second, so that it forgets in some ten seconds.
 constexpr double memory_tokens = 200'000;
 
 } // namespace
--- a/src/libcrosslink/forward/load_aggregator.cpp
+++ b/src/libcrosslink/forward/load_aggregator.cpp
@@ -18,14 +18,13 @@
     }
 }
 
-/// Takes `load`, which is part of it, out of `sum`.
 void
 remove_load(std::map<std::string, RunnerLoad>& sum,
             const std::map<std::string, RunnerLoad>& load)
 {
     for (const auto& [runner, item] : load) {
         const auto found = sum.find(runner);
-        // Nothing was left of what several told that has no call.
+        // A sum without calls has no entry.
         if (found == sum.end())
             continue;
         RunnerLoad& total = found->second;
@@ -49,7 +48,7 @@
     add_load(m_sum, own);
 }
 
-/// Drops what was told too long ago.
+/// Drops outdated reports.
 void
 LoadAggregator::expire(TimePoint now)
 {
--- a/src/libcrosslink/forward/queue_limit.cpp
+++ b/src/libcrosslink/forward/queue_limit.cpp
@@ -11,14 +11,14 @@
 namespace
 {
 
-/// Part of the objective that a call may be expected to wait. Answers come up
-/// to 0.9 s later than expected where runners are busy (the 90th of 100), so
-/// that a fifth of an objective of 1.2 s leaves room for that; and a short
-/// queue for memory leaves some of it to what runners keep. Of callers on
-/// five days with losses, three seeds each, served within the objective from
-/// their first try: 0.90 at 0.1, 0.91 at 0.2, 0.90 at 0.3.
+/// Part of the objective that a call may be expected to wait. On busy runners,
+/// answers come up to 0.9 s later than expected (90th percentile), so that a
+/// fifth of an objective of 1.2 s leaves room for that. A short queue for
+/// memory also leaves some of the memory to the KV that runners keep. Callers
+/// served within the objective at their first attempt, on five days with losses
+/// and three seeds each: 0.90 at 0.1, 0.91 at 0.2, 0.90 at 0.3.
 constexpr double waiting_part = 0.2;
-/// Callers that are told to come back late are spread over no more than this.
+/// Maximum jitter of a retry delay.
 constexpr Micros longest_spread = std::chrono::seconds(5);
 
 } // namespace
--- a/src/libcrosslink/forward/rate_share.cpp
+++ b/src/libcrosslink/forward/rate_share.cpp
@@ -13,16 +13,17 @@
 
 /// Part of a warm-up limit that is given out; see the header.
 constexpr double warm_up_part = 0.5;
-/// Calls in a second that a share should be worth: an instance that may send
-/// only one waits a second for the next, however few the others send.
+/// Calls a second that a share should be worth: an instance that may send only
+/// one waits a second for the next, however few calls the others send.
 constexpr double least_warm_up_share = 2;
-/// A runner counts the calls of each second; those that are under way are
-/// counted a little longer here, as ways differ by as much.
+/// A runner counts the calls of each second. Calls are counted slightly longer
+/// here, because network delays differ by as much.
 constexpr Micros warm_up_window = std::chrono::milliseconds(1050);
 
-/// Part of a named limit that is given out: calls bunch up on the way.
+/// Part of an advertised limit that is given out: calls bunch up on the
+/// network.
 constexpr double named_part = 0.95;
-/// Calls a second that a runner gets however little it takes.
+/// Calls a second that a runner gets however low its limit.
 constexpr double least_rate = 0.2;
 
 constexpr Micros settled_silence = std::chrono::seconds(3);
@@ -58,8 +59,8 @@
 named_limit_share(double per_second, std::size_t present)
 {
     const double rate = rate_given(per_second);
-    // Each of them may send one call at the same moment: as many as the runner
-    // takes in a second, and one.
+    // Each instance may send one call at the same moment: as many as the runner
+    // accepts in a second, plus one.
     const double wanted =
         std::min(1 + per_second, static_cast<double>(present));
     RateShare share;
--- a/src/libcrosslink/forward/request_digest.cpp
+++ b/src/libcrosslink/forward/request_digest.cpp
@@ -14,7 +14,7 @@
 digest_of_parts(std::span<const std::string_view> parts)
 {
     std::string text;
-    // The lengths keep two different lists from being one text.
+    // The lengths keep two different lists from having the same text.
     for (const std::string_view part : parts) {
         text += std::to_string(part.size());
         text += ':';
--- a/src/libcrosslink/forward/retry_window.cpp
+++ b/src/libcrosslink/forward/retry_window.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Part of the budget that is given out; see the class.
+/// Part of the budget that is granted; see the class.
 constexpr double part_given = 0.5;
 
 } // namespace
--- a/src/libcrosslink/forward/runner_choosing.cpp
+++ b/src/libcrosslink/forward/runner_choosing.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-// The part of the table that chooses a runner for a call.
+// The part of RunnerTable that chooses a runner for a call.
 
 #include <crosslink/forward/runner_table.h>
 
@@ -22,36 +22,39 @@
 namespace
 {
 
-/// The others' load is used for so long after it was told.
+/// Time for which the reported load of other instances is used.
 constexpr Micros told_holds = std::chrono::milliseconds(1200);
-/// A runner whose contact was lost may be down for a second or two, and tells
-/// its new start up to 1.2 s late; beyond its time to warm up.
+/// Time that a runner whose connection failed may take to restart, in addition
+/// to its warm-up time. It may be down for a second or two, and its report of
+/// the new start arrives up to 1.2 s late.
 constexpr Micros restart_time = std::chrono::milliseconds(1500);
 
-/// A process that ends in steps is seldom longer about it.
+/// Time that a process which ends in steps seldom exceeds.
 constexpr Micros ending_time = std::chrono::seconds(2);
 
-/// A call that waited for its time may be as much too early: the one before it
-/// was sent as much too late.
+/// A call that waited for its time may be this much too early, since the
+/// previous one was sent as much too late.
 constexpr Micros booked_early = std::chrono::milliseconds(20);
-/// An instance without a share asks a silent runner so often at most.
+/// Minimum interval between probes of a silent runner by an instance without a
+/// share.
 constexpr Micros asking_pause = std::chrono::seconds(5);
-/// The answer of one that asks in a turn is known to all by the next.
+/// Length of a round of probes. All instances know the answer to a probe by the
+/// next round.
 constexpr Micros asking_turn = std::chrono::seconds(3);
-/// Turns after which no more ask: eight at a time then.
+/// Rounds after which the number of probing instances stays the same, at eight.
 constexpr std::int64_t most_turns = 3;
-/// What an account that is ahead waits for each place, beside the others: as
-/// much longer as SendWindow makes up for.
+/// Factor by which an account above its fair share waits longer for each place
+/// than the others. SendWindow makes up for as much time.
 constexpr double window_ahead = 1.5;
-/// A time that does not come.
+/// A time that never comes.
 constexpr TimePoint never = TimePoint::max();
 
 using Candidates = std::vector<const RunnerEntry*>;
 
-/// Least number of runners to choose from.
+/// Minimum number of runners to choose from.
 constexpr std::size_t least_choice = 2;
 
-/// Leaves a random part of `candidates`, among which `instances` choose.
+/// Reduces `candidates` to a random sample, from which `instances` choose.
 void
 sample_part(Candidates& candidates, std::size_t instances,
             std::mt19937_64& generator)
@@ -64,8 +67,8 @@
     candidates.resize(count);
 }
 
-/// Leaves a random part of the candidates of each zone, as if its instances
-/// alone chose there.
+/// Returns a random sample of the candidates of each zone, as if only the
+/// instances of that zone chose there.
 Candidates
 sample_zones(const Candidates& candidates, std::size_t instances,
              std::mt19937_64& generator)
@@ -83,13 +86,14 @@
     return sampled;
 }
 
-/// Leaves a random part of the candidates where many instances choose by the
-/// same picture. Else all of them fill the same few runners that had room: on a
-/// fleet of 82 instances and 60 runners one runner got 35 calls in 0.6 s, and
-/// then none for 3 s; of the calls 0.59 were served, and 0.87 with this. Of a
-/// part of all zones together, a third of the calls found no runner of their
-/// own zone at 71 instances, and went to another one. Zones that are so small
-/// that none of their runners would be left out are taken together.
+/// Reduces the candidates to a random sample if many instances choose by the
+/// same load reports. Otherwise all of them fill the same few runners that had
+/// room: with 82 instances and 60 runners, one runner got 35 calls in 0.6 s and
+/// then none for 3 s, and 0.59 of the calls were served, compared to 0.87 with
+/// sampling. With one sample over all zones, a third of the calls found no
+/// runner of their own zone at 71 instances and went to another one. Zones that
+/// are so small that none of their runners would be left out are sampled
+/// together.
 void
 sample(Candidates& candidates, const RunnerQuery& query)
 {
@@ -119,9 +123,9 @@
     return best;
 }
 
-/// Returns whether a call may begin on the weights of `entry`. However few
-/// runners have them, replaced weights get no calls past their bound: that
-/// would make a broken promise of each rollout that is late. Of 36 rollouts
+/// Returns whether a call may start on the weights of `entry`. Replaced weights
+/// get no calls past their bound, even if few runners have the new ones:
+/// otherwise each late rollout would break the promised bound. Of 36 rollouts
 /// that overlapped, five were late for half of the runners and broke it.
 bool
 has_weights(const RunnerEntry& entry, const RunnerQuery& query)
@@ -130,7 +134,8 @@
     return version > 0 && version >= query.least_version;
 }
 
-/// Returns when an instance that has `share` may send beside `reserved` calls.
+/// Returns when an instance with `share` may send a call, in addition to
+/// `reserved` others.
 TimePoint
 share_free_at(const SendWindow& sends, const RateShare& share,
               std::size_t reserved, TimePoint now)
@@ -140,8 +145,8 @@
     return sends.free_at(left, share.window, now) + windows * share.window;
 }
 
-/// Returns for how long a runner's limit has been silent beyond what its shares
-/// account for; below 0 where it has not.
+/// Returns for how long a runner with a limit has been silent beyond what its
+/// shares explain; negative if it has not.
 Micros
 silence_beyond(const AdvertisedLimit& limit, TimePoint now)
 {
@@ -150,9 +155,9 @@
     return silence - longest_silence(limit.per_second());
 }
 
-/// Returns whether this instance asks a silent runner, though it has no share:
-/// one of the fleet in each turn, and more in later turns, where those that
-/// were to ask had no callers.
+/// Returns whether this instance probes a silent runner without having a share:
+/// one instance of the fleet in each round, and more in later rounds, in case
+/// those selected before had no callers.
 bool
 asks_silent(const RunnerEntry& entry, const RunnerQuery& query)
 {
@@ -169,8 +174,8 @@
     return rendezvous_weight(turn, query.instance) / (1U << turns) < part;
 }
 
-/// Returns whether a runner may be ending: one that ends in steps takes
-/// connections, and breaks them, until its port closes.
+/// Returns whether a runner may be ending: one that ends in steps accepts
+/// connections and breaks them until its port closes.
 bool
 lost_contact_lately(const RunnerEntry& entry, TimePoint now)
 {
@@ -178,9 +183,9 @@
            now < *entry.connection_failed_at + ending_time;
 }
 
-/// Returns whether a runner with a limit has said nothing for so long that the
-/// next call goes there, whatever it costs: else who finds it dear would not
-/// hear of the limit's end.
+/// Returns whether a runner with a limit has been silent for so long that the
+/// next call goes there at any price. Otherwise, instances for which it is
+/// expensive would not learn of the limit's end.
 bool
 is_to_be_asked(const RunnerEntry& entry, TimePoint now)
 {
@@ -190,7 +195,7 @@
 
 } // namespace
 
-/// Returns whether `entry` takes work now, or once it is free.
+/// Returns whether `entry` accepts work now, or once it is free.
 bool
 RunnerTable::may_take_work(const RunnerEntry& entry,
                            const RunnerQuery& query) const
@@ -205,7 +210,7 @@
            (query.model.empty() || has_weights(entry, query));
 }
 
-/// Returns until when a runner warms up, as far as is known.
+/// Returns until when a runner warms up, as far as known.
 TimePoint
 RunnerTable::warm_at(const RunnerEntry& entry, const RunnerQuery& query) const
 {
@@ -230,10 +235,10 @@
                                share.instances, query.now);
 }
 
-/// Returns when a runner takes a call of this instance, beside those that are
-/// reserved there: it is held back after a refusal or a failure, and for the
-/// backoff that it asked for, and where it bears only so much, a few instances
-/// send to it, each a part of that.
+/// Returns when a runner accepts a call of this instance, in addition to those
+/// reserved there. It gets none for a while after a refusal or a failure, and
+/// during a backoff that it requested. If it warms up or advertises a limit, a
+/// few instances send to it, each a share of what it accepts.
 TimePoint
 RunnerTable::free_at(const RunnerEntry& entry, const RunnerQuery& query) const
 {
@@ -265,8 +270,9 @@
     return share_free_at(entry.sends, share, reserved, query.now);
 }
 
-/// Returns the same by the limit that the runner named. Without it each
-/// instance sends as much as to any other runner, and the runner gets the sum.
+/// Returns the same for the limit that the runner advertises. Without it, each
+/// instance would send as much as to any other runner, and the runner would get
+/// the sum.
 TimePoint
 RunnerTable::limit_free_at(const RunnerEntry& entry, const RunnerQuery& query,
                            std::size_t reserved) const
@@ -280,7 +286,7 @@
         return asks_silent(entry, query)
                    ? entry.sends.free_at(1, asking_pause, query.now)
                    : never;
-    // Each place is there for the others first.
+    // Each place is offered to the other accounts first.
     if (query.account_ahead)
         share.window =
             std::chrono::duration_cast<Micros>(share.window * window_ahead);
@@ -294,8 +300,8 @@
     const RunnerEntry* preferred =
         query.affinity.empty() ? nullptr
                                : preferred_by_affinity(candidates, query);
-    // All instances see one runner that became idle at the same time, so that
-    // each of them passes over it now and then.
+    // All instances see at the same time that a runner became idle. The random
+    // addition makes each of them skip it now and then.
     std::minstd_rand generator(
         static_cast<std::minstd_rand::result_type>(query.random));
     std::uniform_real_distribution<double> extra(0, spread_ms(query));
@@ -342,7 +348,7 @@
     release(booked);
     if (auto pick = choose(query))
         return pick;
-    // The places of those that wait there too come later.
+    // The places of other calls that wait there come later.
     const RunnerEntry* entry = find(booked);
     const bool is_its_turn =
         entry && may_take_work(*entry, query) &&
@@ -404,7 +410,7 @@
     return fleet;
 }
 
-/// Returns how long calls of a service take their memory.
+/// Returns how long calls of a service hold their KV memory.
 Micros
 RunnerTable::holding_time(std::string_view service) const
 {
--- a/src/libcrosslink/forward/runner_notices.cpp
+++ b/src/libcrosslink/forward/runner_notices.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-/// The most by which a backoff is longer than what was asked for, as a part of
-/// it and as a time.
+/// Maximum jitter that is added to a requested backoff, as the divisor of the
+/// backoff and as a time.
 constexpr int part_longer = 8;
 constexpr Micros most_longer = std::chrono::seconds(1);
 
--- a/src/libcrosslink/forward/runner_price.cpp
+++ b/src/libcrosslink/forward/runner_price.cpp
@@ -11,32 +11,34 @@
 namespace
 {
 
-/// Prompt tokens that a runner reads in a millisecond; engines of today read
-/// 40 to 60.
+/// Prompt tokens that a runner prefills in a millisecond; current engines
+/// prefill 40 to 60.
 constexpr double tokens_per_ms = 50;
-/// What a runner that works on as many calls as it has slots adds.
+/// Added for a runner with as many calls as it has slots.
 constexpr double full_slots_ms = 100;
-/// Each instance sends mostly to the runners of its zone, so that those of one
-/// zone choose alike; zones are taken as three, the least that the fleet runs
-/// in.
+/// Number of zones. Each instance sends mostly to the runners of its own zone,
+/// so that only the instances of one zone choose alike. Three is the minimum
+/// that the fleet runs in.
 constexpr double zones = 3;
-/// Weights that were replaced: callers want answers of the newest ones, but
-/// sooner on older ones than late on new ones. At 50 ms, calls crowded at the
-/// few runners that load first, where each prompt is read whole: in the two
-/// worst windows of a day with rollouts 0.80 of the worth was earned, 0.82 at
-/// 5 ms.
+/// Added for weights that were replaced: callers prefer answers of the newest
+/// weights, but an early answer of older ones to a late answer of new ones. At
+/// 50 ms, calls crowded at the few runners that load first, where each prompt
+/// is prefilled in full: in the two worst windows of a day with rollouts, 0.80
+/// of the value of all calls was earned, compared to 0.82 at 5 ms.
 constexpr double old_weights_ms = 5;
-/// Another zone: two milliseconds on the way, and bytes between zones, which
-/// are dear. The runners of the own zone should be well filled first.
+/// Added for another zone: two milliseconds of latency, and traffic between
+/// zones, which is expensive. The runners of the own zone should be well used
+/// first.
 constexpr double other_zone_ms = 60;
-/// A fetch from another zone takes twice as long, and so long the store serves
-/// nobody else: stores are what runs short first (docs/MEASUREMENTS.md).
+/// Factor for the time of a fetch from another zone. It takes twice as long,
+/// and the store serves nobody else meanwhile; stores are the first resource to
+/// run short (docs/MEASUREMENTS.md).
 constexpr double far_fetch_price = 3.5;
 
-/// Part of the time for reading the call's prompt by which prices are spread at
-/// random, so that instances do not all choose the same runner.
+/// Part of the prefill time of the call's prompt that bounds the random
+/// addition to prices, which keeps instances from all choosing the same runner.
 constexpr double crowd_part = 0.6;
-/// Runners whose prices differ by less are alike.
+/// Runners whose prices differ by less than this count as equal.
 constexpr double tie_ms = 1;
 
 constexpr double millis_per_second = 1000;
@@ -53,7 +55,7 @@
     return seconds(span) * millis_per_second;
 }
 
-/// Load that all instances together give to a runner, as far as it is known.
+/// Load that all instances together put on a runner, as far as known.
 struct KnownLoad {
     double calls = 0;
     double tokens = 0;
@@ -67,12 +69,13 @@
     }
 };
 
-/// Returns how many of the prompt tokens that others told are read by now. A
-/// picture of the load is 0.2 to 0.5 s old, and prompts of 10,000 tokens are
-/// read in 0.2 s: where they counted as unread, idle runners seemed busy, and
-/// all instances chose the few that had seemed idle. Of large prompts that must
-/// be read whole, at 295 instances and 256 runners, 0.76 began in time, and
-/// 0.95 with this (played load, queue_limit_test).
+/// Returns how many of the prompt tokens that others reported have been
+/// prefilled by now. Reports of the load are 0.2 to 0.5 s old, and a prompt of
+/// 10,000 tokens is prefilled in 0.2 s. If they counted as not prefilled, idle
+/// runners would seem busy, and all instances would choose the few that had
+/// seemed idle. Of large prompts that must be prefilled in full, at 295
+/// instances and 256 runners, 0.76 began in time without this and 0.95 with it
+/// (simulated load, queue_limit_test).
 double
 read_since_told(const RunnerLoad& others, Micros age)
 {
@@ -94,16 +97,16 @@
     known.add(entry.own, 1);
     known.add(entry.others, 1);
     known.tokens -= read_since_told(entry.others, fleet.others_age);
-    // What this instance sent since the others told their load, those that see
-    // the same runner as the best one have sent too.
+    // Instances that see the same runner as the best one have sent as much as
+    // this one since the others reported their load.
     const double choosers = std::min<double>(alike, most_choosers);
     known.add(entry.unreported_load, choosers - 1);
     return known;
 }
 
-/// Returns how long a call waits for memory: what lacks comes free as calls
-/// end, all of it in the time that a call takes its memory. No call waits for
-/// more than the others have.
+/// Returns how long a call waits for KV memory. The missing memory becomes free
+/// as calls end, all of it within the time for which a call holds its memory.
+/// No call waits for more memory than the others hold.
 double
 memory_wait_ms(const KnownLoad& load, const RunnerQuery& query,
                Micros holding_time)
--- a/src/libcrosslink/forward/runner_table.cpp
+++ b/src/libcrosslink/forward/runner_table.cpp
@@ -14,13 +14,14 @@
 namespace
 {
 
-/// A zone is passed over for so long after a runner there said nothing.
+/// Time for which a zone is avoided after a runner there did not respond.
 constexpr Micros silent_hold = std::chrono::milliseconds(2500);
-/// First time for which a failing runner is left alone, and the longest.
+/// Time for which a runner gets no calls after a first failure, and the number
+/// of times that it may double.
 constexpr Micros first_hold = std::chrono::milliseconds(500);
 constexpr std::uint32_t most_doublings = 4;
-/// Two instances may hear of a third one's end so far apart (0.4 s from the
-/// platform, 0.15 s for each of two exchanges), with the second over which
+/// How far apart two instances may learn of the end of a third one (0.4 s from
+/// the platform, 0.15 s for each of two exchanges), plus the second over which
 /// calls to a cold runner are counted.
 constexpr Micros settling_time = std::chrono::milliseconds(2000);
 
@@ -57,7 +58,7 @@
             lapsed(id, gone_at);
 }
 
-/// Takes over all entries of the list, and returns their ids.
+/// Applies all entries of the list, and returns their ids.
 std::set<std::string_view>
 RunnerTable::put_all(std::span<const ListedRunner> listed, TimePoint now)
 {
@@ -69,8 +70,8 @@
     return ids;
 }
 
-/// Drops the entries that meet `condition`, and keeps what their processes said
-/// of themselves: they may be listed again.
+/// Drops the entries that meet `condition`, but keeps the notices of their
+/// processes, since they may be listed again.
 void
 RunnerTable::drop_if(const std::function<bool(const RunnerEntry&)>& condition)
 {
@@ -108,7 +109,7 @@
         return false;
     const bool starts_anew = !is_new && listed.start_ms > entry.listed.start_ms;
     if (starts_anew) {
-        // What was sent a moment ago counts at the new one too.
+        // Recent sends also count for the new process.
         const SendWindow sends = entry.sends;
         entry = {};
         entry.sends = sends;
@@ -182,7 +183,7 @@
     }
 }
 
-/// Counts a call by what its runner bears.
+/// Records a send. How it counts depends on the limit of its runner.
 void
 RunnerTable::note_send(RunnerEntry& entry, TimePoint now) const
 {
@@ -415,8 +416,8 @@
     return found == m_entries.end() ? nullptr : &found->second;
 }
 
-/// Returns the entry of this one process; null where the runner is gone, or
-/// started anew.
+/// Returns the entry of exactly this process; null if the runner is gone or was
+/// restarted.
 RunnerEntry*
 RunnerTable::find(const RunnerIncarnation& runner)
 {
@@ -424,8 +425,8 @@
     return entry && entry->listed.start_ms == runner.start_ms ? entry : nullptr;
 }
 
-/// Returns what this one process said of itself, listed or not; null where a
-/// later one under its id is known.
+/// Returns the notices of exactly this process, whether it is listed or not;
+/// null if a later process under its id is known.
 RunnerNotices*
 RunnerTable::notices_of(const RunnerIncarnation& runner)
 {
--- a/src/libcrosslink/forward/send_window.cpp
+++ b/src/libcrosslink/forward/send_window.cpp
@@ -30,8 +30,8 @@
 {
     if (m_times.size() < most)
         return now;
-    // The calls are in the order of their times; the last `most` are the ones
-    // that keep the next one back.
+    // The calls are ordered by time; the last `most` of them delay the next
+    // one.
     return std::max(now, m_times[m_times.size() - most] + window);
 }
 
--- a/src/libcrosslink/forward/service_map.cpp
+++ b/src/libcrosslink/forward/service_map.cpp
@@ -46,8 +46,8 @@
     const auto prefixes = m_hosts.find(host);
     if (prefixes == m_hosts.end())
         return nullptr;
-    // Prefixes end with a slash: only the parts of the path up to one can
-    // be a prefix, and the longest is asked for first.
+    // Prefixes end with a slash, so that only parts of the path that end with
+    // one can match. The longest is looked up first.
     std::size_t slash = path.rfind('/');
     while (slash != std::string_view::npos) {
         const auto found = prefixes->second.find(path.substr(0, slash + 1));
--- a/src/libcrosslink/forward/start_wait.cpp
+++ b/src/libcrosslink/forward/start_wait.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-/// An instance that has learned nothing by then is cut off: waiting longer
-/// would hold up callers for nothing.
+/// An instance that has learned nothing by then is cut off, and waiting longer
+/// would delay callers for nothing.
 constexpr Micros start_time = std::chrono::milliseconds(1500);
 /// The configuration is read in 0.1 to 0.3 s on machines of 0.12 cores.
 constexpr Micros configuration_wait = std::chrono::milliseconds(400);
--- a/src/libcrosslink/forward/unlisted_notices.cpp
+++ b/src/libcrosslink/forward/unlisted_notices.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-/// A process that is not listed for so long has ended: the platform lists a
-/// living one within seconds of its own return.
+/// A process that is not listed for this long has ended: the platform lists a
+/// running process within seconds after an outage of its own.
 constexpr Micros kept_for = std::chrono::minutes(10);
 
 } // namespace
--- a/src/libcrosslink/forward/unresolved_failures.cpp
+++ b/src/libcrosslink/forward/unresolved_failures.cpp
@@ -15,13 +15,14 @@
 namespace
 {
 
-/// When a port is looked at after a break, beside the look of the call itself:
-/// soon for what closes in the same moment, and as late as a process may take
-/// to end.
+/// Delays after a failure at which a port is probed, in addition to the probe
+/// that the call itself makes: early for a port that closes at the same moment,
+/// and as late as a process may take to end.
 constexpr std::array look_after{
     Micros(std::chrono::milliseconds(250)), Micros(std::chrono::seconds(1)),
     Micros(std::chrono::milliseconds(2500)), Micros(std::chrono::seconds(5))};
-/// One of so many runners of a zone may go at a time by itself.
+/// One in this many runners of a zone may disappear at a time without the zone
+/// counting as cut off.
 constexpr std::size_t part_of_zone = 3;
 
 bool
@@ -30,9 +31,10 @@
     return call.runner == runner.id && call.start_ms == runner.start_ms;
 }
 
-/// Adds a call under which a process ended. A request that it broke several
-/// times, as its parts went, has one end there; an answer counts against that
-/// however late the verdict comes.
+/// Adds a call under which a process ended. A request that the process broke
+/// several times while it ended in steps counts as one end, at the time of the
+/// first failure. An answer after that counts against it, however late it is
+/// decided that the process ended.
 void
 add_call(const UnresolvedFailure& call, std::vector<InterruptedCall>& calls)
 {
@@ -90,7 +92,7 @@
     std::erase_if(m_breaks, [&runner](const Open& open) {
         return is_of(open.call, runner);
     });
-    // Without its start, a later process can't be told from this one.
+    // Without its start time, a later process can't be told from this one.
     if (runner.start_ms != 0 && !has_ended(runner))
         m_ended.push_back({std::string(runner.id), runner.start_ms, now});
     return calls;
@@ -166,7 +168,7 @@
     return calls;
 }
 
-/// Returns whether few other runners of the zone went at the same time.
+/// Returns whether few other runners of the zone disappeared at the same time.
 bool
 UnresolvedFailures::went_alone(const Gone& gone) const
 {
@@ -196,7 +198,7 @@
         if (!is_named)
             ports.push_back({call.runner, call.start_ms, call.address});
     }
-    // One look stands for all breaks there that are due soon.
+    // One probe covers all failures there whose probes are due soon.
     for (const ProbeTarget& port : ports)
         for (Open& open : m_breaks)
             while (is_of(open.call, {port.runner, port.start_ms}) &&
@@ -205,7 +207,7 @@
     return ports;
 }
 
-/// Returns when the port of a break is to be looked at next.
+/// Returns when the port of a failed call is to be probed next.
 std::optional<TimePoint>
 UnresolvedFailures::next_look(const Open& open)
 {
