--- a/src/libcrosslink/forward/advertised_limit_test.cpp
+++ b/src/libcrosslink/forward/advertised_limit_test.cpp
@@ -52,7 +52,7 @@
     CHECK_FALSE(limit.in_force());
 }
 
-TEST_CASE("what another instance told later, and earlier, comes in any order")
+TEST_CASE("reports of another instance may arrive in any order")
 {
     AdvertisedLimit first;
     first.answered(1.5, 0, at(0));
@@ -78,7 +78,7 @@
     CHECK(second.told(news_of(first), at(10)));
     CHECK(first.per_second() == 1.5);
     CHECK(second.per_second() == 1.5);
-    // The next answer settles it.
+    // The next answer decides.
     CHECK(second.answered(4, second.change(), at(20)));
     CHECK(first.told(news_of(second), at(30)));
     CHECK(first.per_second() == 4);
@@ -107,8 +107,8 @@
             const double rate = each * static_cast<double>(share.instances);
             CHECK(rate <= std::max(limit, 0.21));
             CHECK(rate >= limit * 0.9);
-            // Windows that begin together, and a call for half a window that
-            // is made up for.
+            // Windows that begin together, plus the calls of half a window that
+            // are made up for.
             const double burst = static_cast<double>(share.calls) * 1.5;
             const double most =
                 4 * rate + burst * static_cast<double>(share.instances);
--- a/src/libcrosslink/forward/crash_history_test.cpp
+++ b/src/libcrosslink/forward/crash_history_test.cpp
@@ -39,8 +39,8 @@
     return call;
 }
 
-/// Lets `ends` runners end under `request`, one after the other, until 1,100
-/// ms.
+/// Returns a history in which `ends` runners ended under `request`, one after
+/// the other, before 1,100 ms.
 CrashHistory
 ended_in_turn(int ends)
 {
@@ -68,7 +68,7 @@
     for (int runner = 0; runner < 9; ++runner)
         history.ended(broken(runner, 1000 + 10 * runner), at(1100));
     CHECK_FALSE(history.blocked(request, at(1100)));
-    // A copy that is sent when that is known, and ends one more.
+    // A copy that is sent when these ends are known, and ends one more runner.
     history.ended(broken_again(9, 1300), at(1300));
     CHECK(history.blocked(request, at(1300)));
 }
@@ -94,20 +94,20 @@
     history.take(ended_in_turn(3).news(at(1100)), at(1100), at(2100));
     CHECK_FALSE(history.blocked(request, at(2100)));
     CHECK(history.news(at(2100)).answered.size() == 1);
-    // Those of which nothing is heard are forgotten one by one.
+    // Answers without a reported end are forgotten one by one.
     for (std::size_t i = 0; i < 2 * CrashHistory::most_answers; ++i)
         history.answered("other-" + std::to_string(i), at(2000), at(2200));
     history.ended(broken(5, 1000, "other-0"), at(2200));
     CHECK(history.ends("other-0") == 1);
 }
 
-TEST_CASE("one end that several instances tell of counts once")
+TEST_CASE("an end that several instances report counts once")
 {
     CrashHistory history;
     CHECK(history.ended(broken(1, 1000), at(1100)));
     CHECK_FALSE(history.ended(broken(1, 1030), at(1200)));
     CHECK(history.ends(request) == 1);
-    // A later process with the same id, by its start or by the time.
+    // A later process with the same id, recognized by its start or by the time.
     InterruptedCall anew = broken(1, 1000);
     anew.start_ms = 7;
     CHECK(history.ended(anew, at(1200)));
@@ -115,20 +115,20 @@
     CHECK(history.ends(request) == 3);
 }
 
-TEST_CASE("what instances tell each other comes out the same")
+TEST_CASE("instances that exchange reports reach the same result")
 {
     const CrashHistory seen = ended_in_turn(3);
     CrashHistory other;
     other.take(seen.news(at(1200)), at(1210), at(1230));
     CHECK(other.blocked(request, at(1230)));
     CHECK(other.ends(request) == 3);
-    // It tells that on, and what comes back says nothing new.
+    // The other instance passes it on, and what comes back is nothing new.
     CrashHistory third;
     third.take(other.news(at(1300)), at(1310), at(1330));
     CHECK(third.blocked(request, at(1330)));
     other.take(third.news(at(1400)), at(1410), at(1430));
     CHECK(other.ends(request) == 3);
-    // After a while there is nothing to tell, sooner of a single end.
+    // Reporting stops after a while, sooner for a single end.
     CHECK_FALSE(seen.news(at(5000)).broken.empty());
     CHECK(seen.news(at(20'000)).broken.empty());
     CHECK_FALSE(ended_in_turn(1).news(at(2000)).broken.empty());
@@ -145,7 +145,7 @@
     CHECK_FALSE(other.blocked(request, at(1400)));
 }
 
-TEST_CASE("one more break holds a request until the verdict on it")
+TEST_CASE("one more failure holds a request back until it is decided")
 {
     // Copies that were lost at once do not block it.
     CrashHistory history;
@@ -159,30 +159,30 @@
     CrashHistory other;
     other.take(history.news(at(1300)), at(1300), at(1300));
     CHECK(other.blocked(request, at(1300)));
-    // None comes, or an answer does.
+    // It is released without a decision, or after an answer.
     CHECK_FALSE(history.blocked(request, at(7200)));
     other.answered(request, at(1400), at(1400));
     CHECK_FALSE(other.blocked(request, at(1400)));
-    // Fewer ends hold nothing.
+    // Fewer ends do not hold a request back.
     CrashHistory few = ended_in_turn(2);
     few.hold(request, at(1200), at(1200));
     CHECK_FALSE(few.blocked(request, at(1200)));
 }
 
-TEST_CASE("what is remembered fades")
+TEST_CASE("ends are forgotten after the retention time")
 {
     CrashHistory history = ended_in_turn(3);
     const TimePoint late = at(1020) + CrashHistory::remembered;
     CHECK(history.blocked(request, late));
     CHECK_FALSE(history.blocked(request, late + Micros(1)));
-    // What was known before counts no more with what comes later.
+    // Ends known before do not count together with later ones.
     history.ended(
         {std::string(request), "runner-9", 0, false, late + Micros(2)},
         late + Micros(2));
     CHECK(history.ends(request) == 1);
 }
 
-TEST_CASE("what is remembered is bounded, and the most suspect stays")
+TEST_CASE("the number of requests is bounded, and the most suspect stays")
 {
     CrashHistory history = ended_in_turn(3);
     for (std::size_t i = 0; i < 2 * CrashHistory::most_requests; ++i)
@@ -196,7 +196,7 @@
     CHECK(history.news(at(2200)).broken.size() <= 160);
 }
 
-TEST_CASE("a record of the platform blocks a request until it goes")
+TEST_CASE("a record of the platform blocks a request until it is removed")
 {
     CrashHistory fresh;
     fresh.recorded(request, at(0));
@@ -222,7 +222,7 @@
     CHECK(history.to_unrecord().size() == 1);
 }
 
-TEST_CASE("a request is told as newly blocked once")
+TEST_CASE("a request is reported as newly blocked once")
 {
     CrashHistory history = ended_in_turn(2);
     CHECK(history.take_newly_blocked(at(1100)).empty());
--- a/src/libcrosslink/forward/crash_play_test.cpp
+++ b/src/libcrosslink/forward/crash_play_test.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-// Fleets of 3 to 300 instances that share which requests runners ended under,
-// with words late or lost. Where each instance knew only what it saw itself,
-// each of them would lose three runners.
+// Simulates fleets of 3 to 300 instances that share which requests ended
+// runners, with messages late or lost. If each instance knew only what it saw
+// itself, each of them would lose three runners.
 
 #include "../testing/played_crashes.h"
 
@@ -36,7 +36,7 @@
     CHECK(played.refused() > 0);
 }
 
-/// Plays fleets of all sizes with all seeds.
+/// Simulates fleets of all sizes with all seeds.
 void
 check_sent_later(CrashPlay play)
 {
@@ -55,14 +55,14 @@
     check_sent_later({});
 }
 
-TEST_CASE("so it is where two callers send it at once")
+TEST_CASE("a request that ends runners is soon blocked with two callers")
 {
     CrashPlay play;
     play.callers = 2;
     check_sent_later(play);
 }
 
-TEST_CASE("so it is where every third exchange is lost")
+TEST_CASE("a request that ends runners is soon blocked despite lost exchanges")
 {
     CrashPlay play;
     play.lost = 0.33;
@@ -78,11 +78,12 @@
     }
 }
 
-// The holder of the duty is cut off, and for 6 s the others do not hear who has
-// it next (the lease ends after 3 s; who fails twice to ask the holder asks
-// another instance): runners end on both sides, of which the other one does not
-// know. Where ends were told for 1.5 s alone, the sides did not tell each other
-// after the cut, and four more runners ended (seed 11).
+// The holder of the duty is cut off, and for 6 s the others do not learn who
+// holds it next (the lease ends after 3 s; an instance that fails twice to
+// reach the holder asks another instance). Runners end on both sides, unknown
+// to the other one. If ends were reported for only 1.5 s, the sides would not
+// inform each other after the partition, and four more runners would end (seed
+// 11).
 TEST_CASE("what was seen behind a cut is told after it")
 {
     CrashPlay play;
@@ -97,7 +98,7 @@
         }
 }
 
-TEST_CASE("so it is at an instance that starts later")
+TEST_CASE("a request that ends runners is blocked at instances started later")
 {
     CrashPlay play;
     for (const int fresh_ms : {1500, 8000}) {
@@ -106,7 +107,7 @@
     }
 }
 
-// Copies of one harmless request are under way at all times, and runners are
+// Copies of one harmless request are in flight at all times, and runners are
 // lost for another reason, three at once in each second.
 TEST_CASE("a popular request is served though its runners are lost")
 {
@@ -127,7 +128,7 @@
         }
 }
 
-TEST_CASE("so it is where all instances are killed afterwards")
+TEST_CASE("a request that ends runners is blocked after all instances ended")
 {
     CrashPlay play;
     play.all_killed = std::chrono::seconds(8);
--- a/src/libcrosslink/forward/event_tracker_test.cpp
+++ b/src/libcrosslink/forward/event_tracker_test.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("only whole events pass")
+TEST_CASE("only complete events are passed on")
 {
     EventTracker tracker(std::nullopt);
     const std::string one = event(1);
@@ -35,7 +35,7 @@
     CHECK(tracker.last_event() == 1);
 }
 
-TEST_CASE("a left-out event is a gap")
+TEST_CASE("a skipped event is a gap")
 {
     EventTracker tracker(std::nullopt);
     tracker.take(event(1));
@@ -43,7 +43,7 @@
     CHECK(tracker.gap());
 }
 
-TEST_CASE("events without a number pass as they come")
+TEST_CASE("events without a number are passed on as received")
 {
     EventTracker tracker(std::nullopt);
     const std::string plain = ": note\n\ndata: x\n\n";
@@ -51,7 +51,7 @@
     CHECK_FALSE(tracker.gap());
 }
 
-TEST_CASE("however runs break off, each event passes once and in order")
+TEST_CASE("each event is passed on once and in order, however runs break off")
 {
     CHECK(rc::check("once and in order", [] {
         const auto count = *rc::gen::inRange<std::uint64_t>(1, 20);
--- a/src/libcrosslink/forward/fair_share_tracker_test.cpp
+++ b/src/libcrosslink/forward/fair_share_tracker_test.cpp
@@ -42,7 +42,7 @@
     CHECK_FALSE(turns.is_ahead("s", "a", at(106'000)));
 }
 
-TEST_CASE("places that were got long ago do not count")
+TEST_CASE("places granted long ago do not count")
 {
     FairShareTracker turns;
     turns.taken("s", "a", at(0));
--- a/src/libcrosslink/forward/holding_time_test.cpp
+++ b/src/libcrosslink/forward/holding_time_test.cpp
@@ -22,12 +22,12 @@
 
 } // namespace
 
-TEST_CASE("before any call ended, memory is taken to be held for some seconds")
+TEST_CASE("before any call ended, the holding time is some seconds")
 {
     CHECK(seconds(HoldingTime().mean()) == Approx(2));
 }
 
-TEST_CASE("the time that memory is held follows what calls took")
+TEST_CASE("the holding time follows the calls that ended")
 {
     CHECK(seconds_after(50, 12'000, 5000) == Approx(5).epsilon(0.15));
     CHECK(seconds_after(50, 12'000, 300) == Approx(0.3).epsilon(0.6));
--- a/src/libcrosslink/forward/limit_play_test.cpp
+++ b/src/libcrosslink/forward/limit_play_test.cpp
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-// Fleets of 3 to 300 instances before runners in need, which name how many
-// calls a second they take from all of them together. Where each instance went
-// by price alone, such a runner got as many calls as the others.
+// Simulates fleets of 3 to 300 instances with overloaded runners, which
+// advertise how many calls a second they accept from all instances together. If
+// each instance chose by price alone, such a runner would get as many calls as
+// the others.
 
 #include "../testing/played_limits.h"
 
@@ -23,7 +24,7 @@
 
 constexpr std::array<std::size_t, 4> sizes{3, 16, 71, 300};
 constexpr std::array<std::uint32_t, 3> seeds{1, 2, 3};
-constexpr std::size_t calls_each = 4; ///< A second, at each instance.
+constexpr std::size_t calls_each = 4; ///< Calls a second at each instance.
 constexpr std::size_t most_calls = 500;
 
 Micros
@@ -32,8 +33,8 @@
     return from_seconds(span);
 }
 
-/// Plays `play` at all sizes with all seeds, with calls and runners to match,
-/// and lets `check` look at each.
+/// Simulates `play` at all sizes with all seeds, with a matching number of
+/// calls and runners, and calls `check` for each.
 template<typename Check>
 void
 play_all(LimitPlay play, Check check)
@@ -80,7 +81,7 @@
     }
 }
 
-TEST_CASE("so it is where words are lost or late")
+TEST_CASE("runners are not overloaded when messages are lost or late")
 {
     LimitPlay play;
     play.lost = 0.25;
@@ -167,7 +168,7 @@
         play.seed = seed;
         PlayedLimits played(play);
         played.run();
-        // Half of all would be its part: 0.1 of the calls ask for as much.
+        // Its fair share is half of all, and 0.1 of the calls request as much.
         const auto few = static_cast<double>(played.taken_by_few());
         CHECK(few > 0.25 * static_cast<double>(played.taken()));
     }
--- a/src/libcrosslink/forward/load_aggregator_test.cpp
+++ b/src/libcrosslink/forward/load_aggregator_test.cpp
@@ -14,7 +14,7 @@
 namespace crosslink
 {
 
-TEST_CASE("an instance learns the sum of all others, and only what is fresh")
+TEST_CASE("an instance gets the sum of the recent reports of all others")
 {
     const auto at = [](int millis) {
         return TimePoint(std::chrono::milliseconds(millis));
@@ -32,7 +32,7 @@
     CHECK(board.others("one", at(2000)).empty());
 }
 
-TEST_CASE("the sum is what all told last, whatever came before")
+TEST_CASE("the sum consists of the latest reports, whatever came before")
 {
     CHECK(rc::check("a board is the sum of its instances", [] {
         LoadAggregator board;
--- a/src/libcrosslink/forward/queue_limit_test.cpp
+++ b/src/libcrosslink/forward/queue_limit_test.cpp
@@ -52,8 +52,8 @@
     return {small, big};
 }
 
-/// Returns the calls of both kinds that were answered in time for each second
-/// at a constant `load`, weighed by the memory that they take.
+/// Returns the calls of both kinds that were answered in time in each second at
+/// a constant `load`, weighted by the memory that they take.
 double
 goodput(double load, bool limited)
 {
@@ -88,7 +88,7 @@
 
 } // namespace
 
-TEST_CASE("a call is sent where it is expected to come in time")
+TEST_CASE("a call is sent if it is expected to be answered in time")
 {
     CHECK_FALSE(QueueLimit::refusal(call(0, 300), 0));
     CHECK_FALSE(QueueLimit::refusal(call(200, 1200), 0));
@@ -100,14 +100,14 @@
     CHECK_FALSE(QueueLimit::refusal(call(60'000, 0), 0));
 }
 
-TEST_CASE("what a call has waited already counts")
+TEST_CASE("the time that a call has already waited counts")
 {
     QueuedCall waited = call(200, 1200);
     waited.waited = millis(1000);
     CHECK(QueueLimit::refusal(waited, 0));
 }
 
-TEST_CASE("callers that are refused come back one after the other")
+TEST_CASE("callers that are refused retry at different times")
 {
     std::vector<Micros> times;
     for (std::uint64_t i = 0; i < 100; ++i)
@@ -117,7 +117,7 @@
     CHECK(*most >= 3 * *least / 2);
 }
 
-TEST_CASE("calm callers are all answered in time")
+TEST_CASE("all callers are answered in time under normal load")
 {
     PlayedLoad played(two_kinds(), PlayedFleet{});
     played.play(20, [](double) { return 1; });
@@ -125,7 +125,7 @@
     CHECK(played.tally(large, 2, 18).in_time_part() > 0.99);
 }
 
-TEST_CASE("more load than the runners bear does not lower what they answer")
+TEST_CASE("a load above the runners' capacity does not lower their throughput")
 {
     double best = 0;
     double at_three = 0;
@@ -139,7 +139,7 @@
     CHECK(goodput(3, false) < 0.8 * best);
 }
 
-TEST_CASE("two objectives after a peak callers are answered in time again")
+TEST_CASE("two objectives after a peak, callers are answered in time again")
 {
     for (const double peak : {2.0, 3.0}) {
         PlayedLoad played(two_kinds(), PlayedFleet{});
@@ -161,7 +161,7 @@
     CHECK(second.in_time + second.late > second.asked / 4);
 }
 
-TEST_CASE("a third of the runners lost: the others answer most in time")
+TEST_CASE("without a third of the runners, most calls are answered in time")
 {
     PlayedFleet fleet;
     fleet.engines = 6;
@@ -178,7 +178,7 @@
     CHECK(with.in_time > without.in_time + without.asked / 20);
 }
 
-TEST_CASE("many instances that learn of each other late do not crowd together")
+TEST_CASE("instances with late load reports do not overload the same runners")
 {
     PlayedFleet fleet;
     fleet.engines = 60;
@@ -197,7 +197,7 @@
 
 TEST_CASE("a large fleet reads all prompts whole, and most begin in time")
 {
-    // As after a loss of all that is kept: 0.7 of what the runners can read.
+    // As after a loss of all kept KV: 0.7 of what the runners can prefill.
     PlayedFleet fleet;
     fleet.engines = 256;
     fleet.instances = 295;
@@ -226,7 +226,7 @@
     CHECK(played.tally(large, 1, 5).in_time_part() > 0.9);
 }
 
-TEST_CASE("runners of mixed speed are used by what they do")
+TEST_CASE("runners of mixed speed are used according to their speed")
 {
     PlayedFleet fleet;
     fleet.slow_speed = 1 / 1.3;
--- a/src/libcrosslink/forward/retry_window_test.cpp
+++ b/src/libcrosslink/forward/retry_window_test.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-TEST_CASE("repeats are bounded and come back with time")
+TEST_CASE("retries are bounded and become available again with time")
 {
     RetryWindow window({0.2, 10, std::chrono::seconds(10)});
     int granted = 0;
--- a/src/libcrosslink/forward/runner_limit_test.cpp
+++ b/src/libcrosslink/forward/runner_limit_test.cpp
@@ -18,7 +18,7 @@
 using testing::query;
 using testing::table_of;
 
-/// Chooses a runner, and sends the call there.
+/// Chooses a runner and sends the call there.
 std::string
 send(RunnerTable& table, int millis)
 {
@@ -64,7 +64,7 @@
     REQUIRE(second.at);
     CHECK(*second.at > at(1020));
     table.reserve(second.incarnation());
-    // Who did not wait comes after them.
+    // A call that did not wait comes after them.
     CHECK_FALSE(table.choose(query(530)));
     RunnerQuery due = query(0);
     due.now = *first.at;
@@ -75,7 +75,7 @@
     CHECK(table.choose_reserved(due, second.incarnation()));
 }
 
-TEST_CASE("so have calls that wait for a runner that warms up")
+TEST_CASE("calls that wait for a runner that warms up do not share a place")
 {
     RunnerTable table = table_of({"r"});
     ListedRunner cold = table.entries().at("r").listed;
@@ -105,7 +105,7 @@
     }
 }
 
-TEST_CASE("a place that is kept is lost where the runner takes less by then")
+TEST_CASE("a reservation is lost if the runner accepts less by then")
 {
     RunnerTable table = table_of({"r"});
     table.limit_answered({"r"}, 2, 0, at(0));
@@ -127,7 +127,7 @@
     ahead.account_ahead = true;
     CHECK_FALSE(table.choose(ahead));
     CHECK(table.choose(query(600)));
-    // What it waited longer is made up for.
+    // The extra wait is made up for.
     ahead.now = at(800);
     CHECK(table.choose(ahead));
     CHECK(send(table, 800) == "r");
@@ -167,7 +167,7 @@
     again.start_ms = 5;
     CHECK(table.put(again, at(10)));
     CHECK(table.limited_count() == 0);
-    // Late news of the one before change nothing.
+    // Late reports about the previous process have no effect.
     CHECK_FALSE(table.limit_told(news[0], at(20)));
     CHECK_FALSE(table.limit_answered({"r", 0}, 2, 0, at(20)));
     CHECK(table.limited_count() == 0);
@@ -187,7 +187,7 @@
     CHECK(table.limit_answered({"r"}, 3, 1, at(300)));
     table.put(listed, at(400));
     CHECK(table.limit_updates(at(400))[0].per_second == 3);
-    // One that is told of before it is listed.
+    // One that is reported before it is listed.
     RunnerTable other = table_of({});
     other.limit_told(news[0], at(0));
     other.put(listed, at(100));
--- a/src/libcrosslink/forward/runner_notices_play_test.cpp
+++ b/src/libcrosslink/forward/runner_notices_play_test.cpp
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-// Random orders of what the platform lists, what processes say of themselves,
-// and what befalls calls, against a plain record of who may be sent what.
+// Applies random sequences of platform listings, of notices that processes give
+// about themselves, and of call outcomes, and checks the choice of runners
+// against a plain record of which of them may be sent calls.
 
 #include <crosslink/forward/runner_table.h>
 
@@ -32,7 +33,7 @@
     bool listed = true;
     bool leaving = false;
     TimePoint backoff_until{};
-    /// Nothing but its words keeps calls from it.
+    /// Nothing but its own notices keeps calls from it.
     bool is_sound = true;
 };
 
@@ -134,7 +135,7 @@
             process.leaving = true;
             break;
         case 8:
-            // The process before says so late.
+            // A late notice of the previous process.
             m_table.set_leaving({id, process.start_ms - 1}, m_now);
             break;
         case 9: {
@@ -205,7 +206,7 @@
         if (draw(2) == 0)
             m_table.ended(pick.incarnation(), 10);
     }
-    /// A call that waits for its place, while more becomes known.
+    /// A call that waits for its place while the state changes.
     void check_booked()
     {
         const NextAvailability chance = m_table.next_available(query());
--- a/src/libcrosslink/forward/runner_table_test.cpp
+++ b/src/libcrosslink/forward/runner_table_test.cpp
@@ -67,7 +67,7 @@
 
 } // namespace
 
-TEST_CASE("a leaving runner, another service's and a tried one get nothing")
+TEST_CASE("leaving, tried and other services' runners get no calls")
 {
     RunnerTable table;
     CHECK(chosen(table, query()).empty());
@@ -114,7 +114,7 @@
     CHECK(chosen(table, ask) == "near");
 }
 
-TEST_CASE("the time until a runner takes up a call grows with its prompts")
+TEST_CASE("the expected wait at a runner grows with its prompts")
 {
     RunnerTable table;
     table.put(runner("r", "a"), at(0));
@@ -148,12 +148,13 @@
     CHECK(wait(0) == reading_time(20'000));
     CHECK(wait(100) == reading_time(15'000));
     CHECK(wait(500) == Micros(0));
-    // What this instance sent itself is unread until its first event.
+    // What this instance sent itself counts as not prefilled until its first
+    // event.
     table.sent({"near"}, 6000, 0, at(0));
     CHECK(wait(500) >= reading_time(6000));
 }
 
-TEST_CASE("a large prompt passes over a runner whose memory it would overfill")
+TEST_CASE("a large prompt avoids a runner whose memory it would exceed")
 {
     RunnerTable table;
     table.put(runner("near", "a"), at(0));
@@ -165,7 +166,7 @@
     CHECK(chosen(table, query_of(45'000)) == "near");
 }
 
-TEST_CASE("at an idle runner nothing is waited for, however large the prompt")
+TEST_CASE("an idle runner has no expected wait, however large the prompt")
 {
     RunnerTable table;
     table.put(runner("r", "a"), at(0));
@@ -184,7 +185,7 @@
     CHECK(aged_load(told, Micros{0}).at("r").tokens == 9000);
 }
 
-TEST_CASE("memory of calls that other instances sent counts as the own does")
+TEST_CASE("memory held by calls of other instances counts as well")
 {
     RunnerTable table;
     table.put(runner("near", "a"), at(0));
@@ -193,7 +194,7 @@
     CHECK(chosen(table, query_of(12'000, 100)) == "far");
 }
 
-TEST_CASE("the wait for memory is as long as calls have held theirs")
+TEST_CASE("the wait for memory follows the holding time of earlier calls")
 {
     RunnerTable table;
     table.put(runner("r", "a"), at(0));
@@ -232,7 +233,7 @@
     CHECK(times_chosen() == 200);
 }
 
-TEST_CASE("newer weights are preferred, and older ones end by their bound")
+TEST_CASE("newer weights are preferred, older ones not used past their bound")
 {
     RunnerTable table;
     table.put(runner("old", "a", 1), at(0));
@@ -246,7 +247,7 @@
     CHECK(chosen(table, asked) == "new");
 }
 
-TEST_CASE("older weights end by their bound, however few have newer ones")
+TEST_CASE("older weights are not used past their bound if few have newer ones")
 {
     RunnerTable table;
     table.put(runner("o1", "a", 1), at(0));
@@ -278,7 +279,7 @@
     CHECK(chosen(table, query(3200)) != "far");
 }
 
-TEST_CASE("a failing runner is left alone for a time that grows")
+TEST_CASE("a failing runner gets no calls for a time that grows")
 {
     RunnerTable table;
     table.put(runner("r", "a"), at(0));
@@ -292,7 +293,7 @@
     CHECK(chosen(table, query(2010)).empty());
 }
 
-TEST_CASE("it is told when a runner takes work again, if one does")
+TEST_CASE("the time at which a runner accepts work again is known, if any")
 {
     RunnerTable table;
     CHECK_FALSE(table.next_available(query()).at);
@@ -322,7 +323,7 @@
     CHECK(table.choose(query())->version == 2);
 }
 
-TEST_CASE("weights that were told late do not replace newer ones")
+TEST_CASE("weights that are reported late do not replace newer ones")
 {
     RunnerTable table;
     table.put(runner("r", "a", 2), at(0));
@@ -332,7 +333,7 @@
     CHECK(table.choose(query())->version == 4);
 }
 
-TEST_CASE("where a runner has not the weights that were told, its list counts")
+TEST_CASE("if a runner lacks the reported weights, its list counts")
 {
     RunnerTable table;
     table.put(runner("r", "a", 1), at(0));
@@ -341,7 +342,7 @@
     CHECK(table.choose(query())->version == 3);
     table.discard_version({"r"}, model, 3);
     CHECK(table.choose(query())->version == 1);
-    // Its list may be late too: that alone is no reason to forget it.
+    // Its list may be late too: that alone is no reason to discard it.
     table.discard_version({"r"}, model, 1);
     CHECK(table.choose(query())->version == 1);
 }
@@ -382,7 +383,7 @@
     RunnerQuery suspect = query(2);
     suspect.spares_ending = false;
     CHECK(chosen(table, suspect) == "broke");
-    // Alone it is as good as before.
+    // Without an alternative it is still chosen.
     table.connection_failed("broke", at(2001));
     table.remove("busy");
     CHECK(chosen(table, query(2002)) == "broke");
@@ -405,7 +406,7 @@
     CHECK(chosen(table, query(10)) == "r");
     CHECK(table.own_load().empty());
     CHECK(table.entries().at("r").version_of(model) == 1);
-    // What comes late of the earlier one changes nothing.
+    // Late events of the earlier process have no effect.
     CHECK_FALSE(table.record_version({"r", 100}, model, 5));
     table.sent({"r", 200}, 500, 800, at(20));
     table.prompt_read({"r", 100}, 9000);
@@ -480,7 +481,7 @@
     CHECK(table.next_available(asked).at == at(2000));
 }
 
-TEST_CASE("a runner that may start anew is taken as cold")
+TEST_CASE("a runner that may be restarting is treated as cold")
 {
     RunnerTable table;
     table.put(runner("r", "a"), at(0));
@@ -511,7 +512,7 @@
     CHECK(chosen(table, asked).empty());
 }
 
-TEST_CASE("a whole list drops those that it does not name")
+TEST_CASE("a complete list removes the runners that it does not contain")
 {
     RunnerTable table;
     table.put(runner("r1", "a"), at(0));
--- a/src/libcrosslink/forward/service_map_test.cpp
+++ b/src/libcrosslink/forward/service_map_test.cpp
@@ -73,7 +73,7 @@
     CHECK(!map.find_store("10.0.0.2:1"));
 }
 
-TEST_CASE("a split gives each service its weight")
+TEST_CASE("a traffic split follows the weights of its services")
 {
     ServiceRoute split = route("r", "h", "/");
     split.services = {{"old", 90}, {"new", 10}, {"none", 0}};
--- a/src/libcrosslink/forward/start_wait_test.cpp
+++ b/src/libcrosslink/forward/start_wait_test.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("a call waits for what a fresh instance is about to learn")
+TEST_CASE("a call waits for the configuration of a new instance")
 {
     CHECK(wait_for_configuration(millis(0)) == millis(400));
     CHECK(wait_for_configuration(millis(1400)) == millis(100));
--- a/src/libcrosslink/forward/unlisted_notices_test.cpp
+++ b/src/libcrosslink/forward/unlisted_notices_test.cpp
@@ -33,7 +33,7 @@
     UnlistedNotices unlisted;
     unlisted.keep({"r", 2}, leaving_since(1));
     CHECK(unlisted.take({"other", 2}).empty());
-    // A listing of an earlier process came late.
+    // A late listing of an earlier process.
     CHECK(unlisted.take({"r", 1}).empty());
     CHECK(unlisted.take({"r", 2}).leaving);
     CHECK(unlisted.take({"r", 2}).empty());
--- a/src/libcrosslink/forward/unresolved_failures_test.cpp
+++ b/src/libcrosslink/forward/unresolved_failures_test.cpp
@@ -22,7 +22,7 @@
            std::chrono::milliseconds(millis);
 }
 
-/// A call of `request` that broke off at `runner`, whose start was 1.
+/// A call of `request` that failed at `runner`, which was started at 1.
 UnresolvedFailure
 broken(const std::string& request, const std::string& runner, int millis)
 {
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("calls that broke at a process count once its end is known")
+TEST_CASE("failed calls of a process count once its end is known")
 {
     UnresolvedFailures breaks;
     CHECK_FALSE(breaks.add(broken("d1", "r1", 0), at(0)));
@@ -41,16 +41,16 @@
     CHECK(breaks.ended({"r1", 2}, at(1000)).empty());
     const auto calls = breaks.ended({"r1", 1}, at(2000));
     REQUIRE(calls.size() == 2);
-    // An answer that came meanwhile proves the request harmless all the same.
+    // An answer that came meanwhile still proves the request harmless.
     CHECK(calls[0].ended_at == at(0));
     CHECK_FALSE(breaks.has("d1", at(2000)));
     CHECK(breaks.has("d3", at(2000)));
-    // One that is seen later counts at once.
+    // A failure that is reported later counts at once.
     CHECK(breaks.add(broken("d4", "r1", 2010), at(2010)));
     CHECK(breaks.ended({"r1", 1}, at(2010)).size() == 1);
 }
 
-TEST_CASE("a request that a process broke several times has one end there")
+TEST_CASE("a request that a process broke several times counts as one end")
 {
     UnresolvedFailures breaks;
     breaks.add(broken("d", "r", 0), at(0));
@@ -61,7 +61,7 @@
     REQUIRE(calls.size() == 1);
     CHECK(calls[0].ended_at == at(0));
     CHECK(calls[0].again);
-    // Nor two where two instances saw it.
+    // It is also one end if two instances saw it.
     CrashHistory history;
     CHECK(history.ended(calls[0], at(2500)));
     InterruptedCall other = calls[0];
@@ -69,7 +69,7 @@
     CHECK_FALSE(history.ended(other, at(2600)));
 }
 
-TEST_CASE("a break of which nothing is learned in time is no end")
+TEST_CASE("a failure without a decision in time does not count as an end")
 {
     UnresolvedFailures breaks;
     breaks.add(broken("d", "r", 0), at(0));
@@ -77,7 +77,7 @@
     CHECK(breaks.ended({"r", 1}, at(6000)).empty());
 }
 
-TEST_CASE("a process that answers later calls, or leaves, has no end")
+TEST_CASE("a process that answers later calls, or leaves, has not ended")
 {
     UnresolvedFailures breaks;
     breaks.add(broken("d", "r", 0), at(0));
@@ -120,7 +120,7 @@
     CHECK(cut.has("d", at(2500)));
 }
 
-TEST_CASE("ports are looked at a few times, however many calls broke there")
+TEST_CASE("a port is probed a few times, however many calls failed there")
 {
     UnresolvedFailures breaks;
     for (int i = 0; i < 20; ++i)
@@ -141,7 +141,7 @@
     CHECK_FALSE(breaks.next_due());
 }
 
-TEST_CASE("open breaks are bounded, and the newest stay")
+TEST_CASE("the number of undecided failures is bounded, and the newest stay")
 {
     UnresolvedFailures breaks;
     for (std::size_t i = 0; i < 2 * UnresolvedFailures::most_open; ++i)
--- a/src/libcrosslink/forward/warm_up_limit_test.cpp
+++ b/src/libcrosslink/forward/warm_up_limit_test.cpp
@@ -41,20 +41,20 @@
     return listed;
 }
 
-/// What is played: a fleet before runners some of which come back cold.
+/// A simulated fleet with runners of which some return cold.
 struct Scene {
     int instances = 71;
     int runners = 60;
-    int cold = 25; ///< Of them, that come back cold together.
+    int cold = 25; ///< Number of them that return cold together.
     int calls_per_second = 450;
     double limit = 21.5;
-    int news_spread_ms = 600; ///< Instances hear of a change so far apart.
-    bool restarts = false;    ///< An instance starts anew every 200 ms.
-    bool split = false;       ///< Half of them take the others as gone.
+    int news_spread_ms = 600; ///< Instances learn of a change this far apart.
+    bool restarts = false;    ///< An instance restarts every 200 ms.
+    bool split = false;       ///< Each half considers the other gone.
 };
 
-/// Instances that know the fleet each by news of their own, and send calls
-/// where they choose. Counts what each runner gets.
+/// Instances that learn of the fleet at different times and send calls where
+/// they choose. Counts the calls that each runner gets.
 class ColdFleet
 {
 public:
@@ -66,7 +66,7 @@
             start(i, -10'000);
     }
 
-    /// Plays 6 s; the runners come back cold at the first.
+    /// Simulates 6 s; the runners return cold after the first.
     void play()
     {
         for (int ms = 0; ms < 6000; ++ms) {
@@ -88,8 +88,8 @@
 
     /// Returns the most calls that a cold runner got within a second.
     std::size_t most_in_a_second() const { return m_most; }
-    /// Returns how many calls came, how many found a runner, and how many of
-    /// them a cold one.
+    /// Returns how many calls arrived, how many found a runner, and how many of
+    /// those found a cold one.
     int asked() const { return m_asked; }
     int sent() const { return m_sent; }
     int sent_cold() const { return m_sent_cold; }
@@ -109,7 +109,7 @@
         return "zone-" + std::to_string(number % 3);
     }
 
-    /// A process with nothing but what it reads at its start.
+    /// A process that knows only what it reads at its start.
     void start(std::size_t number, int ms)
     {
         m_tables[number] = RunnerTable();
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Runners that did not end have streams under way, so that those which
-    /// come back are the idle ones.
+    /// Runners that did not end have streams in flight, so that the returning
+    /// ones are the idle ones.
     void tell_load(int ms)
     {
         std::map<std::string, RunnerLoad> load;
@@ -140,8 +140,9 @@
             table.others_told(load, at(ms));
     }
 
-    /// Instances hear of it one after the other; before, the contact is lost
-    /// and told, as the runners were away.
+    /// Instances learn of the return one after the other. Before that,
+    /// connection failures are detected and reported while the runners are
+    /// away.
     void come_back()
     {
         m_back = true;
@@ -156,7 +157,7 @@
             }
     }
 
-    /// Each half takes the other as gone.
+    /// Each half considers the other gone.
     void split()
     {
         for (std::size_t i = 0; i < m_tables.size(); ++i)
@@ -216,7 +217,7 @@
     const Scene m_scene;
     std::mt19937_64 m_random;
     std::vector<RunnerTable> m_tables; ///< One for each instance.
-    std::multimap<int, News> m_news;   ///< By the time at which it comes.
+    std::multimap<int, News> m_news;   ///< By arrival time.
     std::map<std::string, std::deque<int>> m_got;
     bool m_back = false;
     std::size_t m_most = 0;
@@ -226,7 +227,7 @@
 };
 
 /// Returns the most calls that a cold runner got within a second, of three
-/// plays.
+/// simulations.
 std::size_t
 most_of(const Scene& scene)
 {
@@ -241,7 +242,7 @@
 
 } // namespace
 
-TEST_CASE("half of what a cold runner bears is divided")
+TEST_CASE("half of what a cold runner accepts is divided into shares")
 {
     const RateShare many = warm_up_share(21.5, 24);
     CHECK(many.instances == 5);
@@ -262,7 +263,7 @@
         }
 }
 
-TEST_CASE("a share that is used up is free again after a second")
+TEST_CASE("an exhausted share is available again after a second")
 {
     const Micros window = warm_up_share(21.5, 24).window;
     SendWindow sends;
@@ -301,7 +302,7 @@
     CHECK(most_of(scene) > 22);
 }
 
-TEST_CASE("cold runners take work all the same, and no call is left over")
+TEST_CASE("cold runners still get work, and every call finds a runner")
 {
     const Scene scene;
     ColdFleet fleet(scene, 1);
