--- a/src/include/crosslink/forward/advertised_limit.h
+++ b/src/include/crosslink/forward/advertised_limit.h
@@ -37,24 +37,24 @@
     /// Number of changes, as far as known.
     std::uint64_t change() const { return m_change; }
     /// Number of answers that confirmed the limit, as far as known.
-    std::uint64_t heard() const { return m_heard; }
+    std::uint64_t confirmations() const { return m_confirmations; }
     /// When this instance last learned of a further such answer.
-    TimePoint heard_at() const { return m_heard_at; }
+    TimePoint confirmed_at() const { return m_confirmed_at; }
 
     /// Applies the limit in an answer to a call that was sent when `known`
     /// changes were known. Returns whether the limit changed.
-    bool answered(double per_second, std::uint64_t known, TimePoint now);
+    bool apply_answer(double per_second, std::uint64_t known, TimePoint now);
     /// Merges a report of another instance. Returns whether the limit changed.
-    bool told(const LimitUpdate& news, TimePoint now);
+    bool merge(const LimitUpdate& update, TimePoint now);
     /// Returns whether other instances are to be informed: while the limit is
     /// in force, and for some time after its end.
-    bool is_news(TimePoint now) const;
+    bool needs_reporting(TimePoint now) const;
 
 private:
     double m_per_second = no_rate_limit;
     std::uint64_t m_change = 0;
-    std::uint64_t m_heard = 0;
-    TimePoint m_heard_at{};
+    std::uint64_t m_confirmations = 0;
+    TimePoint m_confirmed_at{};
     TimePoint m_changed_at{};
 };
 
--- a/src/include/crosslink/forward/crash_history.h
+++ b/src/include/crosslink/forward/crash_history.h
@@ -119,7 +119,7 @@
     /// Returns what was learned recently, to be reported to other instances.
     CrashUpdate news(TimePoint now) const;
     /// Merges what another instance reported as of `as_of`.
-    void take(const CrashUpdate& news, TimePoint as_of, TimePoint now);
+    void take(const CrashUpdate& update, TimePoint as_of, TimePoint now);
 
     /// Records that the platform has a record of a request as blocked.
     void recorded(std::string_view request, TimePoint now);
@@ -150,15 +150,15 @@
         TimePoint answer_learned_at{};
         std::optional<TimePoint> recorded_at;
         std::optional<TimePoint> held_at; ///< See hold().
-        TimePoint told_until{};           ///< It is reported to others before.
-        TimePoint last_at{};       ///< Time of the last end, or of its record.
-        bool told_blocked = false; ///< See take_newly_blocked().
+        TimePoint report_until{};         ///< It is reported to others before.
+        TimePoint last_at{}; ///< Time of the last end, or of its record.
+        bool reported_blocked = false; ///< See take_newly_blocked().
 
         bool counts(const End& end) const;
-        std::size_t counted() const;
-        bool ended_again() const;
-        Micros told_span() const;
-        bool record_holds() const;
+        std::size_t end_count() const;
+        bool has_repeated_end() const;
+        Micros report_span() const;
+        bool has_valid_record() const;
         bool is_blocked() const;
         bool is_held(TimePoint now) const;
     };
@@ -166,15 +166,15 @@
 
     using Requests = std::map<std::string, Request, std::less<>>;
 
-    static void add_news(const std::string& digest, const Request& request,
-                         TimePoint now, CrashUpdate& news);
-    Request& touch(std::string_view request, TimePoint now);
-    void learned(Request& request, TimePoint now);
+    static void add_to_update(const std::string& digest, const Request& request,
+                              TimePoint now, CrashUpdate& update);
+    Request& find_or_add(std::string_view request, TimePoint now);
+    void mark_changed(Request& request, TimePoint now);
     void expire(TimePoint now);
-    void make_room();
+    void evict_least_suspect();
     const Request* find(std::string_view request, TimePoint now) const;
 
-    void note_answer(std::string_view request, TimePoint at);
+    void remember_answer(std::string_view request, TimePoint at);
 
     Requests m_requests; ///< By digest.
     /// Answer times of the requests that are not in m_requests, by digest, and
@@ -183,7 +183,7 @@
     std::deque<std::string> m_answer_order;
     /// Time until which there may be something to report. Usually there is
     /// nothing, and news() is called up to 200 times a second.
-    TimePoint m_news_until{};
+    TimePoint m_report_until{};
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/forward/fair_share_tracker.h
+++ b/src/include/crosslink/forward/fair_share_tracker.h
@@ -31,14 +31,14 @@
                   TimePoint now) const;
 
 private:
-    struct Use {
+    struct Usage {
         double places = 0; ///< Granted; decays exponentially.
         TimePoint counted_at{};
-        TimePoint asked_at{};
+        TimePoint requested_at{};
     };
-    using Accounts = std::map<std::string, Use, std::less<>>;
+    using Accounts = std::map<std::string, Usage, std::less<>>;
 
-    Use& use_of(std::string_view service, std::string_view account);
+    Usage& usage_of(std::string_view service, std::string_view account);
 
     std::map<std::string, Accounts, std::less<>> m_services;
 };
--- a/src/include/crosslink/forward/load_aggregator.h
+++ b/src/include/crosslink/forward/load_aggregator.h
@@ -45,14 +45,14 @@
     }
 
 private:
-    struct Told {
+    struct Report {
         std::map<std::string, RunnerLoad> load;
         TimePoint at{};
     };
 
     void expire(TimePoint now);
 
-    std::map<std::string, Told, std::less<>> m_instances;
+    std::map<std::string, Report, std::less<>> m_instances;
     /// Sum over all instances, updated with each report. Each instance requests
     /// it 16 times a second.
     std::map<std::string, RunnerLoad> m_sum;
--- a/src/include/crosslink/forward/rate_share.h
+++ b/src/include/crosslink/forward/rate_share.h
@@ -34,7 +34,7 @@
 /// given out, because the limit is a mean over seconds. However low the limit,
 /// the runner gets an occasional call, whose answer tells whether the limit
 /// still holds.
-RateShare named_limit_share(double per_second, std::size_t present);
+RateShare advertised_limit_share(double per_second, std::size_t present);
 
 /// Returns how long a runner with that limit may go without an answer while its
 /// shares are in use. After that, the next call is sent to it, and now and then
--- a/src/include/crosslink/forward/retry_window.h
+++ b/src/include/crosslink/forward/retry_window.h
@@ -40,7 +40,7 @@
     static constexpr std::size_t slots = 10;
     struct Counts {
         std::array<std::uint32_t, slots> calls{};
-        std::array<std::uint32_t, slots> repeats{};
+        std::array<std::uint32_t, slots> retries{};
         std::int64_t slot = 0; ///< Number of the newest slot.
     };
 
--- a/src/include/crosslink/forward/runner_entry.h
+++ b/src/include/crosslink/forward/runner_entry.h
@@ -74,7 +74,7 @@
     RunnerLoad others;          ///< Of all other instances, as reported.
     RunnerLoad unreported_load; ///< Of this instance, sent since that report.
     std::uint32_t failures = 0; ///< One less with each success.
-    TimePoint held_until{};     ///< It gets no calls before.
+    TimePoint paused_until{};   ///< It gets no calls before.
     TimePoint cold_until{};     ///< It warms up until then, by its own report.
     /// When it last refused or broke a connection; it may be restarting.
     std::optional<TimePoint> connection_failed_at;
--- a/src/include/crosslink/forward/runner_notices.h
+++ b/src/include/crosslink/forward/runner_notices.h
@@ -21,8 +21,8 @@
     bool leaving = false; ///< It will end: no new calls are sent to it.
     /// It requested no calls from this instance before.
     TimePoint backoff_until{};
-    AdvertisedLimit limit; ///< Calls accepted from all instances together.
-    TimePoint heard_at{};  ///< When the latest one was given.
+    AdvertisedLimit limit;   ///< Calls accepted from all instances together.
+    TimePoint reported_at{}; ///< When the latest one was given.
 
     /// Returns whether there is nothing that matters later.
     bool empty() const
--- a/src/include/crosslink/forward/runner_price.h
+++ b/src/include/crosslink/forward/runner_price.h
@@ -26,10 +26,10 @@
 inline constexpr double silent_zone_ms = 400;
 /// Added for a runner that refused or broke a connection a moment ago: calls
 /// sent there may be broken off too, and can't always be sent again.
-inline constexpr double lost_contact_ms = 400;
+inline constexpr double connection_failed_ms = 400;
 
 /// Number of instances that may see the same runner as the best one at a time.
-inline constexpr std::size_t most_choosers = 4;
+inline constexpr std::size_t max_choosers = 4;
 
 /// What is known of the load on all runners of a service.
 struct FleetLoad {
@@ -56,13 +56,13 @@
                      const FleetLoad& fleet);
 
 /// Returns the price of a runner from its load, its weights and its zone.
-/// RunnerTable applies affinity_ms, silent_zone_ms and lost_contact_ms, which
-/// depend on further state.
+/// RunnerTable applies affinity_ms, silent_zone_ms and connection_failed_ms,
+/// which depend on further state.
 double price_ms(const RunnerEntry& entry, const RunnerQuery& query,
                 const FleetLoad& fleet);
 
 /// Returns the maximum random addition to a price, which keeps instances from
 /// all choosing the same runner.
-double spread_ms(const RunnerQuery& query);
+double jitter_ms(const RunnerQuery& query);
 
 } // namespace crosslink
--- a/src/include/crosslink/forward/runner_table.h
+++ b/src/include/crosslink/forward/runner_table.h
@@ -71,11 +71,12 @@
 
     /// Returns the runner for a call, or nothing if none accepts work.
     std::optional<RunnerPick> choose(const RunnerQuery& query) const;
-    /// Returns the runner for a call that waited with a reservation at
-    /// `booked`, and releases the reservation. Other calls that wait there come
-    /// after it.
-    std::optional<RunnerPick> choose_reserved(const RunnerQuery& query,
-                                              const RunnerIncarnation& booked);
+    /// Returns the runner for a call that waited at the runner of
+    /// `reservation`, which is released. Other calls that wait there come after
+    /// it.
+    std::optional<RunnerPick>
+    choose_reserved(const RunnerQuery& query,
+                    const RunnerIncarnation& reservation);
     /// Returns when a runner accepts work again.
     NextAvailability next_available(const RunnerQuery& query) const;
     /// Counts a call as about to be sent, so that other choices made at the
@@ -133,7 +134,7 @@
                         std::uint64_t known, TimePoint now);
     /// Merges another instance's report of a runner's limit. Returns whether
     /// the limit changed.
-    bool limit_told(const LimitUpdate& news, TimePoint now);
+    bool limit_told(const LimitUpdate& update, TimePoint now);
     /// Returns the limits to report to other instances.
     std::vector<LimitUpdate> limit_updates(TimePoint now) const;
     /// Returns how many runners have a limit in force.
@@ -163,13 +164,13 @@
 private:
     std::set<std::string_view> put_all(std::span<const ListedRunner> listed,
                                        TimePoint now);
-    void note_send(RunnerEntry& entry, TimePoint now) const;
+    void record_send(RunnerEntry& entry, TimePoint now) const;
     RunnerEntry* find(std::string_view id);
     RunnerEntry* find(const RunnerIncarnation& runner);
     RunnerNotices* notices_of(const RunnerIncarnation& runner);
     void drop_if(const std::function<bool(const RunnerEntry&)>& condition);
-    bool may_take_work(const RunnerEntry& entry,
-                       const RunnerQuery& query) const;
+    bool may_accept_work(const RunnerEntry& entry,
+                         const RunnerQuery& query) const;
     TimePoint warm_at(const RunnerEntry& entry, const RunnerQuery& query) const;
     TimePoint free_at(const RunnerEntry& entry, const RunnerQuery& query) const;
     TimePoint free_at(const RunnerEntry& entry, const RunnerQuery& query,
@@ -199,7 +200,7 @@
     std::map<std::string, TimePoint, std::less<>> m_reopened;
     SettledMembers m_members;
     /// How long calls hold their KV memory, by service.
-    std::map<std::string, HoldingTime, std::less<>> m_holding;
+    std::map<std::string, HoldingTime, std::less<>> m_holding_times;
     TimePoint m_others_at{}; ///< Time of the others' latest load.
     bool m_others_known = false;
 };
--- a/src/include/crosslink/forward/unlisted_notices.h
+++ b/src/include/crosslink/forward/unlisted_notices.h
@@ -31,12 +31,12 @@
     void expire(TimePoint now);
 
 private:
-    struct Kept {
+    struct Stored {
         std::uint64_t start_ms = 0;
         RunnerNotices notices;
     };
 
-    std::map<std::string, Kept, std::less<>> m_kept; ///< By id.
+    std::map<std::string, Stored, std::less<>> m_stored; ///< By id.
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/forward/unresolved_failures.h
+++ b/src/include/crosslink/forward/unresolved_failures.h
@@ -26,11 +26,11 @@
     std::uint64_t start_ms = 0; ///< See ListedRunner.
     std::string address;        ///< "ip:port".
     bool again = false;         ///< See InterruptedCall.
-    TimePoint broke_at{};
+    TimePoint failed_at{};
     /// Whether the runner's port is probed: only if the connection broke. A
     /// runner that answered with a failure is not probed, since some services
     /// often do so.
-    bool is_looked_at = false;
+    bool probes_port = false;
 };
 
 /// A process whose port is to be probed.
@@ -57,15 +57,15 @@
     /// Time after a failure within which it is decided. A runner's entry
     /// expires three heartbeats after the last one, and a new entry appears
     /// with the first heartbeat of the new process.
-    static constexpr Micros open_for = std::chrono::seconds(6);
+    static constexpr Micros decision_time = std::chrono::seconds(6);
     /// Maximum number of failures that are kept; the oldest are dropped.
-    static constexpr std::size_t most_open = 512;
+    static constexpr std::size_t max_open = 512;
     /// Minimum interval between probes of a port, however many calls fail
     /// there.
-    static constexpr Micros look_pause = std::chrono::milliseconds(500);
+    static constexpr Micros min_probe_interval = std::chrono::milliseconds(500);
     /// Runners that disappear within this time of each other may have been cut
     /// off together.
-    static constexpr Micros gone_together = std::chrono::milliseconds(1500);
+    static constexpr Micros cutoff_window = std::chrono::milliseconds(1500);
 
     /// Adds a broken or failed call. Returns whether its process is known to
     /// have ended; ended() must then be called for the calls concerned.
@@ -100,12 +100,12 @@
     std::vector<ProbeTarget> take_due(TimePoint now);
     /// Returns when the next probe or decision is due, or nothing if none is.
     std::optional<TimePoint> next_due() const;
-    bool empty() const { return m_breaks.empty(); }
+    bool empty() const { return m_failures.empty(); }
 
 private:
     struct Open {
         UnresolvedFailure call;
-        std::size_t looks = 0; ///< Probes made so far.
+        std::size_t probes = 0; ///< Probes made so far.
     };
     struct Ended {
         std::string runner;
@@ -120,13 +120,13 @@
         TimePoint at{};
     };
 
-    static std::optional<TimePoint> next_look(const Open& open);
-    bool went_alone(const Gone& gone) const;
+    static std::optional<TimePoint> next_probe(const Open& open);
+    bool disappeared_alone(const Gone& gone) const;
     bool has_ended(const RunnerIncarnation& runner) const;
     void expire(TimePoint now);
 
-    std::vector<Open> m_breaks; ///< In order of arrival.
-    std::vector<Gone> m_gone;   ///< Of the last seconds.
+    std::vector<Open> m_failures; ///< In order of arrival.
+    std::vector<Gone> m_gone;     ///< Of the last seconds.
     std::vector<Gone> m_undecided;
     /// Processes that ended recently. A failed call may be reported later.
     std::vector<Ended> m_ended;
--- a/src/libcrosslink/forward/advertised_limit.cpp
+++ b/src/libcrosslink/forward/advertised_limit.cpp
@@ -12,17 +12,18 @@
 /// Time for which the end of a limit is reported to other instances. An
 /// instance that was cut off for less than this learns of the end from the
 /// others; one that was cut off for longer, from the runner.
-constexpr Micros end_told = std::chrono::seconds(60);
+constexpr Micros end_report_time = std::chrono::seconds(60);
 
 } // namespace
 
 bool
-AdvertisedLimit::answered(double per_second, std::uint64_t known, TimePoint now)
+AdvertisedLimit::apply_answer(double per_second, std::uint64_t known,
+                              TimePoint now)
 {
     if (known != m_change)
         return false;
-    ++m_heard;
-    m_heard_at = now;
+    ++m_confirmations;
+    m_confirmed_at = now;
     if (per_second == m_per_second)
         return false;
     m_per_second = per_second;
@@ -32,28 +33,28 @@
 }
 
 bool
-AdvertisedLimit::told(const LimitUpdate& news, TimePoint now)
+AdvertisedLimit::merge(const LimitUpdate& update, TimePoint now)
 {
-    const bool is_newer = news.change > m_change;
+    const bool is_newer = update.change > m_change;
     const bool is_lower =
-        news.change == m_change && news.per_second < m_per_second;
-    if (news.heard > m_heard) {
-        m_heard = news.heard;
-        m_heard_at = now;
+        update.change == m_change && update.per_second < m_per_second;
+    if (update.heard > m_confirmations) {
+        m_confirmations = update.heard;
+        m_confirmed_at = now;
     }
     if (!is_newer && !is_lower)
         return false;
-    const bool changed = news.per_second != m_per_second;
-    m_per_second = news.per_second;
-    m_change = news.change;
+    const bool changed = update.per_second != m_per_second;
+    m_per_second = update.per_second;
+    m_change = update.change;
     m_changed_at = now;
     return changed;
 }
 
 bool
-AdvertisedLimit::is_news(TimePoint now) const
+AdvertisedLimit::needs_reporting(TimePoint now) const
 {
-    return in_force() || (m_change > 0 && now < m_changed_at + end_told);
+    return in_force() || (m_change > 0 && now < m_changed_at + end_report_time);
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/forward/crash_history.cpp
+++ b/src/libcrosslink/forward/crash_history.cpp
@@ -14,24 +14,24 @@
 /// Ends under one runner id that are less than this apart are the same end,
 /// seen by several instances or on connections that were kept from before it: a
 /// process takes longer to start and accept a call.
-constexpr Micros same_end = std::chrono::seconds(2);
+constexpr Micros same_end_window = std::chrono::seconds(2);
 /// Time within which it is decided whether a runner ended, if at all.
-constexpr Micros verdict_time = std::chrono::seconds(6);
+constexpr Micros decision_time = std::chrono::seconds(6);
 /// Time for which new information is reported to other instances. Two exchanges
 /// up the tree and two down take 0.6 s, and one that fails adds 0.4 s.
-constexpr Micros told_for = std::chrono::milliseconds(1500);
+constexpr Micros report_time = std::chrono::milliseconds(1500);
 /// The same if more than one runner ended. This concerns few requests, and
 /// zones that were cut off from each other must learn of them after the
 /// partition. With the shorter time, 300 instances sent such a request four
 /// more times after a partition of 5 s in one of eight simulations, where three
 /// are allowed.
-constexpr Micros suspect_told_for = std::chrono::seconds(15);
+constexpr Micros suspect_report_time = std::chrono::seconds(15);
 /// Maximum number of calls in one report, those of the most suspect requests
 /// first. At 30 bytes each they take 5 KB, or 4 ms on the slowest links.
-constexpr std::size_t most_told = 160;
+constexpr std::size_t max_reported = 160;
 /// Maximum number of ends kept for a request. It is more than the number that
 /// blocks one, so that enough of them remain if an answer came in between.
-constexpr std::size_t most_kept = 2 * CrashHistory::most_ends;
+constexpr std::size_t max_ends_kept = 2 * CrashHistory::most_ends;
 
 } // namespace
 
@@ -43,7 +43,7 @@
 }
 
 std::size_t
-CrashHistory::Request::counted() const
+CrashHistory::Request::end_count() const
 {
     return static_cast<std::size_t>(
         std::count_if(ends.begin(), ends.end(),
@@ -53,7 +53,7 @@
 /// Returns whether one of the calls was sent when another end was already
 /// known.
 bool
-CrashHistory::Request::ended_again() const
+CrashHistory::Request::has_repeated_end() const
 {
     return std::any_of(ends.begin(), ends.end(), [this](const End& end) {
         return end.again && counts(end);
@@ -61,13 +61,13 @@
 }
 
 Micros
-CrashHistory::Request::told_span() const
+CrashHistory::Request::report_span() const
 {
-    return ends.size() > 1 ? suspect_told_for : told_for;
+    return ends.size() > 1 ? suspect_report_time : report_time;
 }
 
 bool
-CrashHistory::Request::record_holds() const
+CrashHistory::Request::has_valid_record() const
 {
     return recorded_at && (!answered_at || *recorded_at > *answered_at);
 }
@@ -75,13 +75,15 @@
 bool
 CrashHistory::Request::is_blocked() const
 {
-    return record_holds() || (counted() >= most_ends && ended_again());
+    return has_valid_record() ||
+           (end_count() >= most_ends && has_repeated_end());
 }
 
 bool
 CrashHistory::Request::is_held(TimePoint now) const
 {
-    return held_at && now < *held_at + verdict_time && counted() >= most_ends &&
+    return held_at && now < *held_at + decision_time &&
+           end_count() >= most_ends &&
            (!answered_at || *held_at > *answered_at);
 }
 
@@ -102,7 +104,7 @@
     if (known.runner != call.runner || known.start_ms != call.start_ms)
         return false;
     const Micros apart = std::chrono::abs(known.ended_at - call.ended_at);
-    return call.start_ms != 0 || apart < same_end;
+    return call.start_ms != 0 || apart < same_end_window;
 }
 
 bool
@@ -110,7 +112,7 @@
 {
     if (call.ended_at + remembered < now)
         return false;
-    Request& request = touch(call.request, now);
+    Request& request = find_or_add(call.request, now);
     for (End& known : request.ends) {
         if (!is_same_end(known, call))
             continue;
@@ -120,7 +122,7 @@
         known.again = known.again || call.again;
         return false;
     }
-    if (request.ends.size() >= most_kept)
+    if (request.ends.size() >= max_ends_kept)
         request.ends.erase(request.ends.begin());
     request.ends.push_back(
         {call.runner, call.start_ms, call.again, call.ended_at, now});
@@ -128,7 +130,7 @@
     // The instance that reported the end does not know of the later answer.
     if (!request.counts(request.ends.back()))
         request.answer_learned_at = now;
-    learned(request, now);
+    mark_changed(request, now);
     return true;
 }
 
@@ -137,19 +139,19 @@
 {
     const auto found = m_requests.find(request);
     if (found == m_requests.end()) {
-        note_answer(request, at);
+        remember_answer(request, at);
         return;
     }
     Request& known = found->second;
     if (known.answered_at && *known.answered_at >= at)
         return;
     // For a request that many callers send, an occasional report is enough.
-    const bool is_news = known.counted() > 0 || known.record_holds();
+    const bool is_relevant = known.end_count() > 0 || known.has_valid_record();
     known.answered_at = at;
-    if (!is_news)
+    if (!is_relevant)
         return;
     known.answer_learned_at = now;
-    learned(known, now);
+    mark_changed(known, now);
 }
 
 std::vector<std::string>
@@ -158,9 +160,9 @@
     std::vector<std::string> requests;
     for (auto& [digest, request] : m_requests) {
         const bool is_blocked = find(digest, now) && request.is_blocked();
-        if (is_blocked && !request.told_blocked)
+        if (is_blocked && !request.reported_blocked)
             requests.push_back(digest);
-        request.told_blocked = is_blocked;
+        request.reported_blocked = is_blocked;
     }
     return requests;
 }
@@ -171,7 +173,7 @@
 /// of 71 instances, the few that serve it then learn of the first wave only
 /// after they got answers.
 void
-CrashHistory::note_answer(std::string_view request, TimePoint at)
+CrashHistory::remember_answer(std::string_view request, TimePoint at)
 {
     const auto [noted, is_new] =
         m_answers.insert_or_assign(std::string(request), at);
@@ -195,85 +197,85 @@
 CrashHistory::hold(std::string_view request, TimePoint at, TimePoint now)
 {
     const auto found = m_requests.find(request);
-    if (found == m_requests.end() || found->second.counted() < most_ends)
+    if (found == m_requests.end() || found->second.end_count() < most_ends)
         return;
     Request& known = found->second;
     if (known.held_at && *known.held_at >= at)
         return;
     known.held_at = at;
-    learned(known, now);
+    mark_changed(known, now);
 }
 
 std::size_t
 CrashHistory::ends(std::string_view request) const
 {
     const auto found = m_requests.find(request);
-    return found == m_requests.end() ? 0 : found->second.counted();
+    return found == m_requests.end() ? 0 : found->second.end_count();
 }
 
-/// Adds what was recently learned of `request` to `news`.
+/// Adds what was recently learned of `request` to `update`.
 void
-CrashHistory::add_news(const std::string& digest, const Request& request,
-                       TimePoint now, CrashUpdate& news)
+CrashHistory::add_to_update(const std::string& digest, const Request& request,
+                            TimePoint now, CrashUpdate& update)
 {
-    const Micros span = request.told_span();
+    const Micros span = request.report_span();
     const auto is_new = [now, span](TimePoint learned_at) {
         return learned_at + span > now;
     };
     for (const End& end : request.ends)
-        if (is_new(end.learned_at) && news.broken.size() < most_told)
-            news.broken.push_back({digest, end.runner, end.start_ms, end.again,
-                                   now - end.ended_at});
+        if (is_new(end.learned_at) && update.broken.size() < max_reported)
+            update.broken.push_back({digest, end.runner, end.start_ms,
+                                     end.again, now - end.ended_at});
     if (request.answered_at && is_new(request.answer_learned_at))
-        news.answered.push_back({digest, now - *request.answered_at});
+        update.answered.push_back({digest, now - *request.answered_at});
     if (request.is_held(now))
-        news.held.push_back({digest, now - *request.held_at});
+        update.held.push_back({digest, now - *request.held_at});
 }
 
 CrashUpdate
 CrashHistory::news(TimePoint now) const
 {
-    CrashUpdate news;
-    if (now >= m_news_until)
-        return news;
+    CrashUpdate update;
+    if (now >= m_report_until)
+        return update;
     std::vector<const Requests::value_type*> suspects;
     for (const auto& item : m_requests)
-        if (item.second.told_until > now)
+        if (item.second.report_until > now)
             suspects.push_back(&item);
     std::stable_sort(suspects.begin(), suspects.end(),
                      [](const auto* a, const auto* b) {
                          return a->second.ends.size() > b->second.ends.size();
                      });
     for (const auto* item : suspects)
-        add_news(item->first, item->second, now, news);
-    return news;
+        add_to_update(item->first, item->second, now, update);
+    return update;
 }
 
 /// Marks what was learned of `request` as to be reported to other instances.
 void
-CrashHistory::learned(Request& request, TimePoint now)
+CrashHistory::mark_changed(Request& request, TimePoint now)
 {
-    request.told_until = now + request.told_span();
-    m_news_until = std::max(m_news_until, request.told_until);
+    request.report_until = now + request.report_span();
+    m_report_until = std::max(m_report_until, request.report_until);
 }
 
 void
-CrashHistory::take(const CrashUpdate& news, TimePoint as_of, TimePoint now)
+CrashHistory::take(const CrashUpdate& update, TimePoint as_of, TimePoint now)
 {
-    for (const CrashUpdate::Broken& call : news.broken)
+    for (const CrashUpdate::Broken& call : update.broken)
         ended({call.request, call.runner, call.start_ms, call.again,
                as_of - call.since_end},
               now);
-    for (const CrashUpdate::Answered& answer : news.answered)
+    for (const CrashUpdate::Answered& answer : update.answered)
         answered(answer.request, as_of - answer.since, now);
-    for (const CrashUpdate::Held& item : news.held)
+    for (const CrashUpdate::Held& item : update.held)
         hold(item.request, as_of - item.since, now);
 }
 
 void
 CrashHistory::recorded(std::string_view request, TimePoint now)
 {
-    Request& known = touch(request, now);
+    Request& known = find_or_add(request, now);
     if (!known.recorded_at)
         known.recorded_at = now;
     known.last_at = std::max(known.last_at, now);
@@ -310,7 +312,7 @@
 {
     std::vector<std::string> requests;
     for (const auto& [digest, request] : m_requests)
-        if (request.recorded_at && !request.record_holds())
+        if (request.recorded_at && !request.has_valid_record())
             requests.push_back(digest);
     return requests;
 }
@@ -318,14 +320,14 @@
 /// Returns what is known of `request`. A new request is added, in place of
 /// another one if necessary.
 CrashHistory::Request&
-CrashHistory::touch(std::string_view request, TimePoint now)
+CrashHistory::find_or_add(std::string_view request, TimePoint now)
 {
     const auto found = m_requests.find(request);
     if (found != m_requests.end() && found->second.last_at + remembered >= now)
         return found->second;
     expire(now);
     if (m_requests.size() >= most_requests)
-        make_room();
+        evict_least_suspect();
     Request& added = m_requests[std::string(request)];
     const auto answer = m_answers.find(request);
     if (answer != m_answers.end())
@@ -344,9 +346,9 @@
 /// Drops the least suspect request: one that is not blocked if possible, with
 /// the fewest ends, and of those the one that was updated least recently.
 void
-CrashHistory::make_room()
+CrashHistory::evict_least_suspect()
 {
-    const auto least = std::min_element(
+    const auto least_suspect = std::min_element(
         m_requests.begin(), m_requests.end(), [](const auto& a, const auto& b) {
             const bool blocked_a = a.second.is_blocked();
             const bool blocked_b = b.second.is_blocked();
@@ -356,7 +358,7 @@
                 return a.second.ends.size() < b.second.ends.size();
             return a.second.last_at < b.second.last_at;
         });
-    m_requests.erase(least);
+    m_requests.erase(least_suspect);
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/forward/fair_share_tracker.cpp
+++ b/src/libcrosslink/forward/fair_share_tracker.cpp
@@ -14,22 +14,22 @@
 {
 
 /// Accounts that requested nothing in this time do not count.
-constexpr Micros wanting = std::chrono::seconds(5);
+constexpr Micros active_time = std::chrono::seconds(5);
 /// Half-life of granted places.
 constexpr Micros half_life = std::chrono::seconds(5);
 /// Part of a place by which accounts may differ and still count as equal.
 constexpr double tolerance = 0.1;
 
 double
-faded(double places, Micros age)
+decayed(double places, Micros age)
 {
     return places * std::exp2(-seconds(age) / seconds(half_life));
 }
 
 } // namespace
 
-FairShareTracker::Use&
-FairShareTracker::use_of(std::string_view service, std::string_view account)
+FairShareTracker::Usage&
+FairShareTracker::usage_of(std::string_view service, std::string_view account)
 {
     Accounts& accounts =
         m_services.try_emplace(std::string(service)).first->second;
@@ -40,16 +40,16 @@
 FairShareTracker::asked(std::string_view service, std::string_view account,
                         TimePoint now)
 {
-    use_of(service, account).asked_at = now;
+    usage_of(service, account).requested_at = now;
 }
 
 void
 FairShareTracker::taken(std::string_view service, std::string_view account,
                         TimePoint now)
 {
-    Use& use = use_of(service, account);
-    use.places = faded(use.places, now - use.counted_at) + 1;
-    use.counted_at = now;
+    Usage& usage = usage_of(service, account);
+    usage.places = decayed(usage.places, now - usage.counted_at) + 1;
+    usage.counted_at = now;
 }
 
 bool
@@ -59,20 +59,20 @@
     const auto accounts = m_services.find(service);
     if (accounts == m_services.end())
         return false;
-    std::size_t wanted_by = 0;
-    double all = 0;
+    std::size_t active = 0;
+    double total = 0;
     double own = 0;
-    for (const auto& [name, use] : accounts->second) {
-        if (now - use.asked_at > wanting)
+    for (const auto& [name, usage] : accounts->second) {
+        if (now - usage.requested_at > active_time)
             continue;
-        const double places = faded(use.places, now - use.counted_at);
-        ++wanted_by;
-        all += places;
+        const double places = decayed(usage.places, now - usage.counted_at);
+        ++active;
+        total += places;
         if (name == account)
             own = places;
     }
     const double mean =
-        all / static_cast<double>(std::max<std::size_t>(wanted_by, 1));
+        total / static_cast<double>(std::max<std::size_t>(active, 1));
     return own > mean + tolerance;
 }
 
--- a/src/libcrosslink/forward/holding_time.cpp
+++ b/src/libcrosslink/forward/holding_time.cpp
@@ -17,7 +17,7 @@
 constexpr double prior_tokens = 20'000;
 /// Time constant, in tokens, with which older samples decay. An instance sends
 /// some 20,000 tokens a second, so that it forgets in some ten seconds.
-constexpr double memory_tokens = 200'000;
+constexpr double decay_tokens = 200'000;
 
 } // namespace
 
@@ -25,7 +25,7 @@
 HoldingTime::add(std::uint64_t resident, Micros span)
 {
     const auto tokens = static_cast<double>(resident);
-    const double kept = memory_tokens / (memory_tokens + tokens);
+    const double kept = decay_tokens / (decay_tokens + tokens);
     m_tokens = m_tokens * kept + tokens;
     m_token_seconds = m_token_seconds * kept + tokens * seconds(span);
 }
--- a/src/libcrosslink/forward/load_aggregator.cpp
+++ b/src/libcrosslink/forward/load_aggregator.cpp
@@ -42,9 +42,9 @@
                      TimePoint now)
 {
     expire(now);
-    Told& told = m_instances[std::string(instance)];
-    remove_load(m_sum, told.load);
-    told = {own, now};
+    Report& report = m_instances[std::string(instance)];
+    remove_load(m_sum, report.load);
+    report = {own, now};
     add_load(m_sum, own);
 }
 
--- a/src/libcrosslink/forward/queue_limit.cpp
+++ b/src/libcrosslink/forward/queue_limit.cpp
@@ -17,9 +17,9 @@
 /// memory also leaves some of the memory to the KV that runners keep. Callers
 /// served within the objective at their first attempt, on five days with losses
 /// and three seeds each: 0.90 at 0.1, 0.91 at 0.2, 0.90 at 0.3.
-constexpr double waiting_part = 0.2;
+constexpr double max_wait_part = 0.2;
 /// Maximum jitter of a retry delay.
-constexpr Micros longest_spread = std::chrono::seconds(5);
+constexpr Micros max_jitter = std::chrono::seconds(5);
 
 } // namespace
 
@@ -29,8 +29,8 @@
     constexpr std::uint64_t steps = 1000;
     const double part =
         static_cast<double>(random % steps) / static_cast<double>(steps);
-    const Micros spread = std::min(earliest, longest_spread);
-    return earliest + std::chrono::duration_cast<Micros>(spread * part);
+    const Micros jitter = std::min(earliest, max_jitter);
+    return earliest + std::chrono::duration_cast<Micros>(jitter * part);
 }
 
 std::optional<Micros>
@@ -39,7 +39,7 @@
     if (call.objective.count() == 0)
         return std::nullopt;
     const Micros allowed = std::max(
-        std::chrono::duration_cast<Micros>(call.objective * waiting_part) -
+        std::chrono::duration_cast<Micros>(call.objective * max_wait_part) -
             call.waited,
         Micros{0});
     const Micros excess = call.expected_wait - allowed;
--- a/src/libcrosslink/forward/rate_share.cpp
+++ b/src/libcrosslink/forward/rate_share.cpp
@@ -15,26 +15,26 @@
 constexpr double warm_up_part = 0.5;
 /// Calls a second that a share should be worth: an instance that may send only
 /// one waits a second for the next, however few calls the others send.
-constexpr double least_warm_up_share = 2;
+constexpr double min_warm_up_share = 2;
 /// A runner counts the calls of each second. Calls are counted slightly longer
 /// here, because network delays differ by as much.
 constexpr Micros warm_up_window = std::chrono::milliseconds(1050);
 
 /// Part of an advertised limit that is given out: calls bunch up on the
 /// network.
-constexpr double named_part = 0.95;
+constexpr double advertised_part = 0.95;
 /// Calls a second that a runner gets however low its limit.
-constexpr double least_rate = 0.2;
+constexpr double min_rate = 0.2;
 
 constexpr Micros settled_silence = std::chrono::seconds(3);
-constexpr Micros most_silence = std::chrono::seconds(10);
+constexpr Micros max_silence = std::chrono::seconds(10);
 /// Calls of all shares of which at least one should have been answered.
-constexpr double heard_calls = 3;
+constexpr double expected_calls = 3;
 
 double
-rate_given(double per_second)
+usable_rate(double per_second)
 {
-    return std::max(per_second * named_part, least_rate);
+    return std::max(per_second * advertised_part, min_rate);
 }
 
 } // namespace
@@ -45,7 +45,7 @@
     const double given = limit * warm_up_part;
     if (limit < 1)
         return {};
-    const double wanted = std::clamp(given / least_warm_up_share, 1.0,
+    const double wanted = std::clamp(given / min_warm_up_share, 1.0,
                                      static_cast<double>(present));
     RateShare share;
     share.instances = static_cast<std::size_t>(wanted);
@@ -56,9 +56,9 @@
 }
 
 RateShare
-named_limit_share(double per_second, std::size_t present)
+advertised_limit_share(double per_second, std::size_t present)
 {
-    const double rate = rate_given(per_second);
+    const double rate = usable_rate(per_second);
     // Each instance may send one call at the same moment: as many as the runner
     // accepts in a second, plus one.
     const double wanted =
@@ -74,8 +74,9 @@
 Micros
 longest_silence(double per_second)
 {
-    const Micros heard = from_seconds(heard_calls / rate_given(per_second));
-    return std::min(settled_silence + heard, most_silence);
+    const Micros answer_time =
+        from_seconds(expected_calls / usable_rate(per_second));
+    return std::min(settled_silence + answer_time, max_silence);
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/forward/retry_window.cpp
+++ b/src/libcrosslink/forward/retry_window.cpp
@@ -13,7 +13,7 @@
 {
 
 /// Part of the budget that is granted; see the class.
-constexpr double part_given = 0.5;
+constexpr double granted_part = 0.5;
 
 } // namespace
 
@@ -31,7 +31,7 @@
     for (std::int64_t i = first; i <= slot; ++i) {
         const auto place = static_cast<std::size_t>(i) % slots;
         counts.calls[place] = 0;
-        counts.repeats[place] = 0;
+        counts.retries[place] = 0;
     }
     counts.slot = std::max(counts.slot, slot);
     return counts;
@@ -54,11 +54,11 @@
     };
     const double share =
         1.0 / static_cast<double>(std::max<std::size_t>(instances, 1));
-    const double budget = part_given * (m_rules.ratio * sum(counts.calls) +
-                                        m_rules.allowance * share);
-    if (sum(counts.repeats) + 1 > budget)
+    const double budget = granted_part * (m_rules.ratio * sum(counts.calls) +
+                                          m_rules.allowance * share);
+    if (sum(counts.retries) + 1 > budget)
         return false;
-    ++counts.repeats[static_cast<std::size_t>(counts.slot) % slots];
+    ++counts.retries[static_cast<std::size_t>(counts.slot) % slots];
     return true;
 }
 
--- a/src/libcrosslink/forward/runner_choosing.cpp
+++ b/src/libcrosslink/forward/runner_choosing.cpp
@@ -23,44 +23,44 @@
 {
 
 /// Time for which the reported load of other instances is used.
-constexpr Micros told_holds = std::chrono::milliseconds(1200);
+constexpr Micros load_lifetime = std::chrono::milliseconds(1200);
 /// Time that a runner whose connection failed may take to restart, in addition
 /// to its warm-up time. It may be down for a second or two, and its report of
 /// the new start arrives up to 1.2 s late.
 constexpr Micros restart_time = std::chrono::milliseconds(1500);
 
 /// Time that a process which ends in steps seldom exceeds.
-constexpr Micros ending_time = std::chrono::seconds(2);
+constexpr Micros shutdown_time = std::chrono::seconds(2);
 
 /// A call that waited for its time may be this much too early, since the
 /// previous one was sent as much too late.
-constexpr Micros booked_early = std::chrono::milliseconds(20);
+constexpr Micros early_tolerance = std::chrono::milliseconds(20);
 /// Minimum interval between probes of a silent runner by an instance without a
 /// share.
-constexpr Micros asking_pause = std::chrono::seconds(5);
+constexpr Micros probe_interval = std::chrono::seconds(5);
 /// Length of a round of probes. All instances know the answer to a probe by the
 /// next round.
-constexpr Micros asking_turn = std::chrono::seconds(3);
+constexpr Micros probe_round = std::chrono::seconds(3);
 /// Rounds after which the number of probing instances stays the same, at eight.
-constexpr std::int64_t most_turns = 3;
+constexpr std::int64_t max_rounds = 3;
 /// Factor by which an account above its fair share waits longer for each place
 /// than the others. SendWindow makes up for as much time.
-constexpr double window_ahead = 1.5;
+constexpr double over_share_factor = 1.5;
 /// A time that never comes.
 constexpr TimePoint never = TimePoint::max();
 
 using Candidates = std::vector<const RunnerEntry*>;
 
 /// Minimum number of runners to choose from.
-constexpr std::size_t least_choice = 2;
+constexpr std::size_t min_choice = 2;
 
 /// Reduces `candidates` to a random sample, from which `instances` choose.
 void
-sample_part(Candidates& candidates, std::size_t instances,
-            std::mt19937_64& generator)
+sample_candidates(Candidates& candidates, std::size_t instances,
+                  std::mt19937_64& generator)
 {
     const std::size_t count =
-        std::max(least_choice, most_choosers * candidates.size() / instances);
+        std::max(min_choice, max_choosers * candidates.size() / instances);
     if (count >= candidates.size())
         return;
     std::shuffle(candidates.begin(), candidates.end(), generator);
@@ -80,7 +80,7 @@
         std::max<std::size_t>(instances / zones.size(), 1);
     Candidates sampled;
     for (auto& [zone, part] : zones) {
-        sample_part(part, of_zone, generator);
+        sample_candidates(part, of_zone, generator);
         sampled.insert(sampled.end(), part.begin(), part.end());
     }
     return sampled;
@@ -103,7 +103,7 @@
     if (sampled.size() < candidates.size())
         candidates = std::move(sampled);
     else
-        sample_part(candidates, instances, generator);
+        sample_candidates(candidates, instances, generator);
 }
 
 /// Returns the candidate that calls with the same affinity prefer.
@@ -148,10 +148,10 @@
 /// Returns for how long a runner with a limit has been silent beyond what its
 /// shares explain; negative if it has not.
 Micros
-silence_beyond(const AdvertisedLimit& limit, TimePoint now)
+excess_silence(const AdvertisedLimit& limit, TimePoint now)
 {
     const auto silence =
-        std::chrono::duration_cast<Micros>(now - limit.heard_at());
+        std::chrono::duration_cast<Micros>(now - limit.confirmed_at());
     return silence - longest_silence(limit.per_second());
 }
 
@@ -159,46 +159,47 @@
 /// one instance of the fleet in each round, and more in later rounds, in case
 /// those selected before had no callers.
 bool
-asks_silent(const RunnerEntry& entry, const RunnerQuery& query)
+probes_silent(const RunnerEntry& entry, const RunnerQuery& query)
 {
-    const Micros beyond = silence_beyond(entry.notices.limit, query.now);
-    if (beyond.count() < 0)
+    const Micros excess = excess_silence(entry.notices.limit, query.now);
+    if (excess.count() < 0)
         return false;
-    const auto turns = std::min<std::int64_t>(beyond / asking_turn, most_turns);
-    const std::string turn =
+    const auto rounds =
+        std::min<std::int64_t>(excess / probe_round, max_rounds);
+    const std::string round =
         entry.listed.id + ' ' +
-        std::to_string(query.now.time_since_epoch() / asking_turn);
+        std::to_string(query.now.time_since_epoch() / probe_round);
     const auto instances = std::max<std::uint64_t>(query.instances, 1);
     const std::uint64_t part =
         std::numeric_limits<std::uint64_t>::max() / instances;
-    return rendezvous_weight(turn, query.instance) / (1U << turns) < part;
+    return rendezvous_weight(round, query.instance) / (1U << rounds) < part;
 }
 
 /// Returns whether a runner may be ending: one that ends in steps accepts
 /// connections and breaks them until its port closes.
 bool
-lost_contact_lately(const RunnerEntry& entry, TimePoint now)
+connection_failed_lately(const RunnerEntry& entry, TimePoint now)
 {
     return entry.connection_failed_at &&
-           now < *entry.connection_failed_at + ending_time;
+           now < *entry.connection_failed_at + shutdown_time;
 }
 
 /// Returns whether a runner with a limit has been silent for so long that the
 /// next call goes there at any price. Otherwise, instances for which it is
 /// expensive would not learn of the limit's end.
 bool
-is_to_be_asked(const RunnerEntry& entry, TimePoint now)
+needs_probe(const RunnerEntry& entry, TimePoint now)
 {
     return entry.notices.limit.in_force() &&
-           silence_beyond(entry.notices.limit, now).count() >= 0;
+           excess_silence(entry.notices.limit, now).count() >= 0;
 }
 
 } // namespace
 
 /// Returns whether `entry` accepts work now, or once it is free.
 bool
-RunnerTable::may_take_work(const RunnerEntry& entry,
-                           const RunnerQuery& query) const
+RunnerTable::may_accept_work(const RunnerEntry& entry,
+                             const RunnerQuery& query) const
 {
     const ListedRunner& listed = entry.listed;
     return listed.service == query.service && !entry.leaves() &&
@@ -249,7 +250,7 @@
 RunnerTable::free_at(const RunnerEntry& entry, const RunnerQuery& query,
                      std::size_t reserved) const
 {
-    return std::max({entry.held_until, entry.notices.backoff_until,
+    return std::max({entry.paused_until, entry.notices.backoff_until,
                      warm_up_free_at(entry, query, reserved),
                      limit_free_at(entry, query, reserved)});
 }
@@ -280,16 +281,16 @@
     if (!entry.notices.limit.in_force())
         return {};
     RateShare share =
-        named_limit_share(entry.notices.limit.per_second(),
-                          m_members.count(entry.listed.zone, query.now));
+        advertised_limit_share(entry.notices.limit.per_second(),
+                               m_members.count(entry.listed.zone, query.now));
     if (!has_share(entry, query, share))
-        return asks_silent(entry, query)
-                   ? entry.sends.free_at(1, asking_pause, query.now)
+        return probes_silent(entry, query)
+                   ? entry.sends.free_at(1, probe_interval, query.now)
                    : never;
     // Each place is offered to the other accounts first.
     if (query.account_ahead)
-        share.window =
-            std::chrono::duration_cast<Micros>(share.window * window_ahead);
+        share.window = std::chrono::duration_cast<Micros>(share.window *
+                                                          over_share_factor);
     return share_free_at(entry.sends, share, reserved, query.now);
 }
 
@@ -304,7 +305,7 @@
     // addition makes each of them skip it now and then.
     std::minstd_rand generator(
         static_cast<std::minstd_rand::result_type>(query.random));
-    std::uniform_real_distribution<double> extra(0, spread_ms(query));
+    std::uniform_real_distribution<double> extra(0, jitter_ms(query));
     const RunnerEntry* best = nullptr;
     double best_price = 0;
     for (const RunnerEntry* entry : candidates) {
@@ -313,8 +314,8 @@
             price -= affinity_ms;
         if (is_silent(entry->listed.zone, query.now))
             price += silent_zone_ms;
-        if (query.spares_ending && lost_contact_lately(*entry, query.now))
-            price += lost_contact_ms;
+        if (query.spares_ending && connection_failed_lately(*entry, query.now))
+            price += connection_failed_ms;
         if (!best || price < best_price) {
             best = entry;
             best_price = price;
@@ -329,9 +330,9 @@
     const FleetLoad fleet = fleet_load(query);
     Candidates candidates;
     for (const auto& [id, entry] : m_entries) {
-        if (!may_take_work(entry, query) || free_at(entry, query) > query.now)
+        if (!may_accept_work(entry, query) || free_at(entry, query) > query.now)
             continue;
-        if (is_to_be_asked(entry, query.now))
+        if (needs_probe(entry, query.now))
             return pick_of(entry, query, fleet);
         candidates.push_back(&entry);
     }
@@ -343,17 +344,17 @@
 
 std::optional<RunnerPick>
 RunnerTable::choose_reserved(const RunnerQuery& query,
-                             const RunnerIncarnation& booked)
+                             const RunnerIncarnation& reservation)
 {
-    release(booked);
+    release(reservation);
     if (auto pick = choose(query))
         return pick;
     // The places of other calls that wait there come later.
-    const RunnerEntry* entry = find(booked);
+    const RunnerEntry* entry = find(reservation);
     const bool is_its_turn =
-        entry && may_take_work(*entry, query) &&
+        entry && may_accept_work(*entry, query) &&
         entry->notices.backoff_until <= query.now &&
-        free_at(*entry, query, 0) <= query.now + booked_early;
+        free_at(*entry, query, 0) <= query.now + early_tolerance;
     if (!is_its_turn)
         return std::nullopt;
     return pick_of(*entry, query, fleet_load(query));
@@ -378,7 +379,7 @@
 {
     NextAvailability chance;
     for (const auto& [id, entry] : m_entries) {
-        if (!may_take_work(entry, query))
+        if (!may_accept_work(entry, query))
             continue;
         chance.limited = chance.limited || entry.notices.limit.in_force();
         const TimePoint free = free_at(entry, query);
@@ -403,7 +404,8 @@
 RunnerTable::fleet_load(const RunnerQuery& query) const
 {
     FleetLoad fleet;
-    fleet.others_known = m_others_known && query.now - m_others_at < told_holds;
+    fleet.others_known =
+        m_others_known && query.now - m_others_at < load_lifetime;
     fleet.others_age = std::max(
         std::chrono::duration_cast<Micros>(query.now - m_others_at), Micros{0});
     fleet.holding_time = holding_time(query.service);
@@ -414,9 +416,9 @@
 Micros
 RunnerTable::holding_time(std::string_view service) const
 {
-    const auto found = m_holding.find(service);
-    return found == m_holding.end() ? HoldingTime().mean()
-                                    : found->second.mean();
+    const auto found = m_holding_times.find(service);
+    return found == m_holding_times.end() ? HoldingTime().mean()
+                                          : found->second.mean();
 }
 
 bool
--- a/src/libcrosslink/forward/runner_notices.cpp
+++ b/src/libcrosslink/forward/runner_notices.cpp
@@ -13,8 +13,8 @@
 
 /// Maximum jitter that is added to a requested backoff, as the divisor of the
 /// backoff and as a time.
-constexpr int part_longer = 8;
-constexpr Micros most_longer = std::chrono::seconds(1);
+constexpr int jitter_divisor = 8;
+constexpr Micros max_jitter = std::chrono::seconds(1);
 
 } // namespace
 
@@ -22,7 +22,7 @@
 backoff_end(Micros backoff, TimePoint now, std::uint64_t random)
 {
     constexpr std::uint64_t steps = 1000;
-    const Micros longest = std::min(backoff / part_longer, most_longer);
+    const Micros longest = std::min(backoff / jitter_divisor, max_jitter);
     return now + backoff + longest * (random % steps) / steps;
 }
 
--- a/src/libcrosslink/forward/runner_notices_play_test.cpp
+++ b/src/libcrosslink/forward/runner_notices_simulation_test.cpp
@@ -37,10 +37,10 @@
     bool is_sound = true;
 };
 
-class NoticesPlay
+class NoticesSimulation
 {
 public:
-    explicit NoticesPlay(std::uint32_t seed) : m_random(seed)
+    explicit NoticesSimulation(std::uint32_t seed) : m_random(seed)
     {
         m_table.members().listed({"i", "", "a", 0}, TimePoint{});
         for (int i = 0; i < runners; ++i) {
@@ -55,7 +55,7 @@
             m_now += std::chrono::milliseconds(draw(300));
             act(id_of(draw(runners)));
             check_choice();
-            check_booked();
+            check_reserved();
         }
     }
 
@@ -207,7 +207,7 @@
             m_table.ended(pick.incarnation(), 10);
     }
     /// A call that waits for its place while the state changes.
-    void check_booked()
+    void check_reserved()
     {
         const NextAvailability chance = m_table.next_available(query());
         if (!chance.at)
@@ -236,7 +236,7 @@
 {
     for (std::uint32_t seed = 1; seed <= seeds; ++seed) {
         INFO("seed " << seed);
-        NoticesPlay(seed).run();
+        NoticesSimulation(seed).run();
     }
 }
 
--- a/src/libcrosslink/forward/runner_price.cpp
+++ b/src/libcrosslink/forward/runner_price.cpp
@@ -13,7 +13,7 @@
 
 /// Prompt tokens that a runner prefills in a millisecond; current engines
 /// prefill 40 to 60.
-constexpr double tokens_per_ms = 50;
+constexpr double prefill_tokens_per_ms = 50;
 /// Added for a runner with as many calls as it has slots.
 constexpr double full_slots_ms = 100;
 /// Number of zones. Each instance sends mostly to the runners of its own zone,
@@ -33,11 +33,11 @@
 /// Factor for the time of a fetch from another zone. It takes twice as long,
 /// and the store serves nobody else meanwhile; stores are the first resource to
 /// run short (docs/MEASUREMENTS.md).
-constexpr double far_fetch_price = 3.5;
+constexpr double far_fetch_factor = 3.5;
 
 /// Part of the prefill time of the call's prompt that bounds the random
 /// addition to prices, which keeps instances from all choosing the same runner.
-constexpr double crowd_part = 0.6;
+constexpr double jitter_part = 0.6;
 /// Runners whose prices differ by less than this count as equal.
 constexpr double tie_ms = 1;
 
@@ -77,10 +77,10 @@
 /// instances and 256 runners, 0.76 began in time without this and 0.95 with it
 /// (simulated load, queue_limit_test).
 double
-read_since_told(const RunnerLoad& others, Micros age)
+prefilled_since_report(const RunnerLoad& others, Micros age)
 {
     return std::min(static_cast<double>(others.tokens),
-                    to_millis(age) * tokens_per_ms);
+                    to_millis(age) * prefill_tokens_per_ms);
 }
 
 KnownLoad
@@ -96,10 +96,10 @@
     }
     known.add(entry.own, 1);
     known.add(entry.others, 1);
-    known.tokens -= read_since_told(entry.others, fleet.others_age);
+    known.tokens -= prefilled_since_report(entry.others, fleet.others_age);
     // Instances that see the same runner as the best one have sent as much as
     // this one since the others reported their load.
-    const double choosers = std::min<double>(alike, most_choosers);
+    const double choosers = std::min<double>(alike, max_choosers);
     known.add(entry.unreported_load, choosers - 1);
     return known;
 }
@@ -114,16 +114,16 @@
     const auto memory = static_cast<double>(query.memory_tokens);
     if (memory == 0)
         return 0;
-    const double lacking =
+    const double missing =
         load.resident + static_cast<double>(query.resident) - memory;
-    return std::clamp(lacking, 0.0, load.resident) / memory *
+    return std::clamp(missing, 0.0, load.resident) / memory *
            to_millis(holding_time);
 }
 
 double
 wait_ms(const KnownLoad& load, const RunnerQuery& query, const FleetLoad& fleet)
 {
-    return load.tokens / tokens_per_ms +
+    return load.tokens / prefill_tokens_per_ms +
            memory_wait_ms(load, query, fleet.holding_time);
 }
 
@@ -133,14 +133,15 @@
 aged_load(std::map<std::string, RunnerLoad> load, Micros age)
 {
     for (auto& [runner, item] : load)
-        item.tokens -= static_cast<std::uint64_t>(read_since_told(item, age));
+        item.tokens -=
+            static_cast<std::uint64_t>(prefilled_since_report(item, age));
     return load;
 }
 
 Micros
 reading_time(std::uint64_t tokens)
 {
-    return from_millis(static_cast<double>(tokens) / tokens_per_ms);
+    return from_millis(static_cast<double>(tokens) / prefill_tokens_per_ms);
 }
 
 Micros
@@ -165,14 +166,14 @@
     if (entry.listed.zone != query.zone)
         price += other_zone_ms;
     if (!query.kept.zone.empty() && entry.listed.zone != query.kept.zone)
-        price += far_fetch_price * to_millis(query.kept.fetch_time);
+        price += far_fetch_factor * to_millis(query.kept.fetch_time);
     return price;
 }
 
 double
-spread_ms(const RunnerQuery& query)
+jitter_ms(const RunnerQuery& query)
 {
-    return crowd_part * to_millis(reading_time(query.tokens)) + tie_ms;
+    return jitter_part * to_millis(reading_time(query.tokens)) + tie_ms;
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/forward/runner_table.cpp
+++ b/src/libcrosslink/forward/runner_table.cpp
@@ -15,11 +15,11 @@
 {
 
 /// Time for which a zone is avoided after a runner there did not respond.
-constexpr Micros silent_hold = std::chrono::milliseconds(2500);
+constexpr Micros silent_zone_time = std::chrono::milliseconds(2500);
 /// Time for which a runner gets no calls after a first failure, and the number
 /// of times that it may double.
-constexpr Micros first_hold = std::chrono::milliseconds(500);
-constexpr std::uint32_t most_doublings = 4;
+constexpr Micros first_failure_hold = std::chrono::milliseconds(500);
+constexpr std::uint32_t max_doublings = 4;
 /// How far apart two instances may learn of the end of a third one (0.4 s from
 /// the platform, 0.15 s for each of two exchanges), plus the second over which
 /// calls to a cold runner are counted.
@@ -177,7 +177,7 @@
 {
     release(runner);
     if (RunnerEntry* entry = find(runner)) {
-        note_send(*entry, now);
+        record_send(*entry, now);
         entry->own.add(tokens, resident);
         entry->unreported_load.add(tokens, resident);
     }
@@ -185,15 +185,15 @@
 
 /// Records a send. How it counts depends on the limit of its runner.
 void
-RunnerTable::note_send(RunnerEntry& entry, TimePoint now) const
+RunnerTable::record_send(RunnerEntry& entry, TimePoint now) const
 {
     if (!entry.notices.limit.in_force()) {
         entry.sends.sent(now);
         return;
     }
     const RateShare share =
-        named_limit_share(entry.notices.limit.per_second(),
-                          m_members.count(entry.listed.zone, now));
+        advertised_limit_share(entry.notices.limit.per_second(),
+                               m_members.count(entry.listed.zone, now));
     if (share.calls == 1)
         entry.sends.sent_in_turn(share.window, now);
     else
@@ -221,7 +221,7 @@
 RunnerTable::ran(std::string_view id, std::uint64_t resident, Micros span)
 {
     if (const RunnerEntry* entry = find(id))
-        m_holding[entry->listed.service].add(resident, span);
+        m_holding_times[entry->listed.service].add(resident, span);
 }
 
 void
@@ -229,7 +229,7 @@
                      Micros hold)
 {
     if (RunnerEntry* entry = find(runner))
-        entry->held_until = std::max(entry->held_until, now + hold);
+        entry->paused_until = std::max(entry->paused_until, now + hold);
 }
 
 void
@@ -246,9 +246,9 @@
     if (!entry)
         return;
     const Micros hold =
-        first_hold * (1 << std::min(entry->failures, most_doublings));
+        first_failure_hold * (1 << std::min(entry->failures, max_doublings));
     ++entry->failures;
-    entry->held_until = std::max(entry->held_until, now + hold);
+    entry->paused_until = std::max(entry->paused_until, now + hold);
 }
 
 void
@@ -285,7 +285,7 @@
 RunnerTable::silent(std::string_view id, TimePoint now)
 {
     if (const RunnerEntry* entry = find(id))
-        m_silent_zones[entry->listed.zone] = now + silent_hold;
+        m_silent_zones[entry->listed.zone] = now + silent_zone_time;
 }
 
 bool
@@ -317,30 +317,31 @@
     RunnerNotices* notices = notices_of(runner);
     if (!notices)
         return false;
-    notices->heard_at = now;
-    return notices->limit.answered(per_second, known, now);
+    notices->reported_at = now;
+    return notices->limit.apply_answer(per_second, known, now);
 }
 
 bool
-RunnerTable::limit_told(const LimitUpdate& news, TimePoint now)
+RunnerTable::limit_told(const LimitUpdate& update, TimePoint now)
 {
-    RunnerNotices* notices = notices_of({news.runner, news.start_ms});
+    RunnerNotices* notices = notices_of({update.runner, update.start_ms});
     if (!notices)
         return false;
-    notices->heard_at = now;
-    return notices->limit.told(news, now);
+    notices->reported_at = now;
+    return notices->limit.merge(update, now);
 }
 
 std::vector<LimitUpdate>
 RunnerTable::limit_updates(TimePoint now) const
 {
-    std::vector<LimitUpdate> news;
+    std::vector<LimitUpdate> updates;
     for (const auto& [id, entry] : m_entries)
-        if (entry.notices.limit.is_news(now))
-            news.push_back(
-                {id, entry.listed.start_ms, entry.notices.limit.per_second(),
-                 entry.notices.limit.change(), entry.notices.limit.heard()});
-    return news;
+        if (entry.notices.limit.needs_reporting(now))
+            updates.push_back({id, entry.listed.start_ms,
+                               entry.notices.limit.per_second(),
+                               entry.notices.limit.change(),
+                               entry.notices.limit.confirmations()});
+    return updates;
 }
 
 std::size_t
@@ -358,18 +359,18 @@
     RunnerNotices* notices = notices_of(runner);
     if (!notices)
         return false;
-    notices->heard_at = now;
+    notices->reported_at = now;
     return !std::exchange(notices->leaving, true);
 }
 
 std::vector<LeavingUpdate>
 RunnerTable::leaving_updates() const
 {
-    std::vector<LeavingUpdate> news;
+    std::vector<LeavingUpdate> updates;
     for (const auto& [id, entry] : m_entries)
         if (entry.notices.leaving && !entry.listed.leaving)
-            news.push_back({id, entry.listed.start_ms});
-    return news;
+            updates.push_back({id, entry.listed.start_ms});
+    return updates;
 }
 
 bool
@@ -379,7 +380,7 @@
     RunnerNotices* notices = notices_of(runner);
     if (!notices)
         return false;
-    notices->heard_at = now;
+    notices->reported_at = now;
     if (until <= notices->backoff_until)
         return false;
     notices->backoff_until = until;
--- a/src/libcrosslink/forward/start_wait.cpp
+++ b/src/libcrosslink/forward/start_wait.cpp
@@ -18,7 +18,7 @@
 constexpr Micros configuration_wait = std::chrono::milliseconds(400);
 
 Micros
-start_left(Micros since_start)
+remaining_start_time(Micros since_start)
 {
     return std::max(start_time - since_start, Micros{0});
 }
@@ -28,7 +28,7 @@
 Micros
 wait_for_configuration(Micros since_start)
 {
-    return std::min(start_left(since_start), configuration_wait);
+    return std::min(remaining_start_time(since_start), configuration_wait);
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/forward/unlisted_notices.cpp
+++ b/src/libcrosslink/forward/unlisted_notices.cpp
@@ -13,7 +13,7 @@
 
 /// A process that is not listed for this long has ended: the platform lists a
 /// running process within seconds after an outage of its own.
-constexpr Micros kept_for = std::chrono::minutes(10);
+constexpr Micros retention = std::chrono::minutes(10);
 
 } // namespace
 
@@ -23,40 +23,41 @@
 {
     if (notices.empty())
         return;
-    Kept& kept = m_kept[std::string(runner.id)];
-    if (runner.start_ms >= kept.start_ms)
-        kept = {runner.start_ms, notices};
+    Stored& stored = m_stored[std::string(runner.id)];
+    if (runner.start_ms >= stored.start_ms)
+        stored = {runner.start_ms, notices};
 }
 
 RunnerNotices
 UnlistedNotices::take(const RunnerIncarnation& runner)
 {
-    const auto found = m_kept.find(runner.id);
-    if (found == m_kept.end() || found->second.start_ms > runner.start_ms)
+    const auto found = m_stored.find(runner.id);
+    if (found == m_stored.end() || found->second.start_ms > runner.start_ms)
         return {};
-    const Kept kept = found->second;
-    m_kept.erase(found);
-    return kept.start_ms == runner.start_ms ? kept.notices : RunnerNotices();
+    const Stored stored = found->second;
+    m_stored.erase(found);
+    return stored.start_ms == runner.start_ms ? stored.notices
+                                              : RunnerNotices();
 }
 
 RunnerNotices*
 UnlistedNotices::find(const RunnerIncarnation& runner)
 {
-    Kept& kept = m_kept[std::string(runner.id)];
-    if (runner.start_ms < kept.start_ms)
+    Stored& stored = m_stored[std::string(runner.id)];
+    if (runner.start_ms < stored.start_ms)
         return nullptr;
-    if (runner.start_ms > kept.start_ms)
-        kept = {runner.start_ms, {}};
-    return &kept.notices;
+    if (runner.start_ms > stored.start_ms)
+        stored = {runner.start_ms, {}};
+    return &stored.notices;
 }
 
 void
 UnlistedNotices::expire(TimePoint now)
 {
-    std::erase_if(m_kept, [now](const auto& item) {
+    std::erase_if(m_stored, [now](const auto& item) {
         const RunnerNotices& notices = item.second.notices;
         return now >=
-               std::max(notices.heard_at + kept_for, notices.backoff_until);
+               std::max(notices.reported_at + retention, notices.backoff_until);
     });
 }
 
--- a/src/libcrosslink/forward/unlisted_notices_test.cpp
+++ b/src/libcrosslink/forward/unlisted_notices_test.cpp
@@ -22,7 +22,7 @@
 {
     RunnerNotices notices;
     notices.leaving = true;
-    notices.heard_at = at(seconds);
+    notices.reported_at = at(seconds);
     return notices;
 }
 
@@ -52,7 +52,7 @@
     *later = leaving_since(2);
     CHECK_FALSE(unlisted.find({"r", 2}));
     unlisted.keep({"r", 2}, leaving_since(3));
-    CHECK(unlisted.take({"r", 3}).heard_at == at(2));
+    CHECK(unlisted.take({"r", 3}).reported_at == at(2));
 }
 
 TEST_CASE("words of an unlisted process are forgotten, but in its backoff")
@@ -60,7 +60,7 @@
     UnlistedNotices unlisted;
     unlisted.keep({"r"}, leaving_since(1));
     RunnerNotices backing_off;
-    backing_off.heard_at = at(1);
+    backing_off.reported_at = at(1);
     backing_off.backoff_until = at(3600);
     unlisted.keep({"s"}, backing_off);
     unlisted.expire(at(600));
--- a/src/libcrosslink/forward/unresolved_failures.cpp
+++ b/src/libcrosslink/forward/unresolved_failures.cpp
@@ -18,12 +18,12 @@
 /// Delays after a failure at which a port is probed, in addition to the probe
 /// that the call itself makes: early for a port that closes at the same moment,
 /// and as late as a process may take to end.
-constexpr std::array look_after{
+constexpr std::array probe_delays{
     Micros(std::chrono::milliseconds(250)), Micros(std::chrono::seconds(1)),
     Micros(std::chrono::milliseconds(2500)), Micros(std::chrono::seconds(5))};
 /// One in this many runners of a zone may disappear at a time without the zone
 /// counting as cut off.
-constexpr std::size_t part_of_zone = 3;
+constexpr std::size_t zone_divisor = 3;
 
 bool
 is_of(const UnresolvedFailure& call, const RunnerIncarnation& runner)
@@ -44,7 +44,7 @@
                                     });
     if (found == calls.end())
         calls.push_back({call.request, call.runner, call.start_ms, call.again,
-                         call.broke_at});
+                         call.failed_at});
     else
         found->again = found->again || call.again;
 }
@@ -55,10 +55,10 @@
 UnresolvedFailures::add(UnresolvedFailure call, TimePoint now)
 {
     expire(now);
-    if (m_breaks.size() >= most_open)
-        m_breaks.erase(m_breaks.begin());
-    m_breaks.push_back({std::move(call)});
-    const UnresolvedFailure& added = m_breaks.back().call;
+    if (m_failures.size() >= max_open)
+        m_failures.erase(m_failures.begin());
+    m_failures.push_back({std::move(call)});
+    const UnresolvedFailure& added = m_failures.back().call;
     return has_ended({added.runner, added.start_ms});
 }
 
@@ -75,10 +75,11 @@
 bool
 UnresolvedFailures::has(std::string_view request, TimePoint now) const
 {
-    return std::any_of(m_breaks.begin(), m_breaks.end(), [&](const Open& open) {
-        return open.call.request == request &&
-               now < open.call.broke_at + open_for;
-    });
+    return std::any_of(m_failures.begin(), m_failures.end(),
+                       [&](const Open& open) {
+                           return open.call.request == request &&
+                                  now < open.call.failed_at + decision_time;
+                       });
 }
 
 std::vector<InterruptedCall>
@@ -86,10 +87,10 @@
 {
     expire(now);
     std::vector<InterruptedCall> calls;
-    for (const Open& open : m_breaks)
+    for (const Open& open : m_failures)
         if (is_of(open.call, runner))
             add_call(open.call, calls);
-    std::erase_if(m_breaks, [&runner](const Open& open) {
+    std::erase_if(m_failures, [&runner](const Open& open) {
         return is_of(open.call, runner);
     });
     // Without its start time, a later process can't be told from this one.
@@ -104,14 +105,14 @@
 {
     std::vector<InterruptedCall> calls;
     const auto first_replaced = [&] {
-        return std::find_if(m_breaks.begin(), m_breaks.end(),
+        return std::find_if(m_failures.begin(), m_failures.end(),
                             [&](const Open& open) {
                                 return open.call.address == address &&
                                        !is_of(open.call, runner);
                             });
     };
     expire(now);
-    for (auto found = first_replaced(); found != m_breaks.end();
+    for (auto found = first_replaced(); found != m_failures.end();
          found = first_replaced()) {
         const UnresolvedFailure earlier = found->call;
         const auto under_it = ended({earlier.runner, earlier.start_ms}, now);
@@ -123,7 +124,7 @@
 void
 UnresolvedFailures::leaves(const RunnerIncarnation& runner)
 {
-    std::erase_if(m_breaks, [&runner](const Open& open) {
+    std::erase_if(m_failures, [&runner](const Open& open) {
         return is_of(open.call, runner);
     });
 }
@@ -131,8 +132,8 @@
 void
 UnresolvedFailures::lives(const RunnerIncarnation& runner, TimePoint sent_at)
 {
-    std::erase_if(m_breaks, [&](const Open& open) {
-        return is_of(open.call, runner) && open.call.broke_at < sent_at;
+    std::erase_if(m_failures, [&](const Open& open) {
+        return is_of(open.call, runner) && open.call.failed_at < sent_at;
     });
 }
 
@@ -141,12 +142,12 @@
                          std::size_t of_zone, TimePoint now)
 {
     std::erase_if(m_gone, [now](const Gone& gone) {
-        return gone.at + 2 * gone_together < now;
+        return gone.at + 2 * cutoff_window < now;
     });
     m_gone.push_back({std::string(runner.id), runner.start_ms,
                       std::string(zone), of_zone, now});
     const bool matters =
-        std::any_of(m_breaks.begin(), m_breaks.end(),
+        std::any_of(m_failures.begin(), m_failures.end(),
                     [&](const Open& open) { return is_of(open.call, runner); });
     if (matters)
         m_undecided.push_back(m_gone.back());
@@ -157,27 +158,27 @@
 {
     std::vector<InterruptedCall> calls;
     for (const Gone& gone : m_undecided) {
-        if (now < gone.at + gone_together || !went_alone(gone))
+        if (now < gone.at + cutoff_window || !disappeared_alone(gone))
             continue;
         const auto ended_there = ended({gone.runner, gone.start_ms}, now);
         calls.insert(calls.end(), ended_there.begin(), ended_there.end());
     }
     std::erase_if(m_undecided, [now](const Gone& gone) {
-        return now >= gone.at + gone_together;
+        return now >= gone.at + cutoff_window;
     });
     return calls;
 }
 
 /// Returns whether few other runners of the zone disappeared at the same time.
 bool
-UnresolvedFailures::went_alone(const Gone& gone) const
+UnresolvedFailures::disappeared_alone(const Gone& gone) const
 {
     const auto together = static_cast<std::size_t>(
         std::count_if(m_gone.begin(), m_gone.end(), [&](const Gone& other) {
             return other.zone == gone.zone &&
-                   std::chrono::abs(other.at - gone.at) <= gone_together;
+                   std::chrono::abs(other.at - gone.at) <= cutoff_window;
         }));
-    return together <= std::max<std::size_t>(gone.of_zone / part_of_zone, 1);
+    return together <= std::max<std::size_t>(gone.of_zone / zone_divisor, 1);
 }
 
 std::vector<ProbeTarget>
@@ -185,35 +186,36 @@
 {
     expire(now);
     std::vector<ProbeTarget> ports;
-    for (Open& open : m_breaks) {
-        const auto at = next_look(open);
+    for (Open& open : m_failures) {
+        const auto at = next_probe(open);
         if (!at || *at > now)
             continue;
         const UnresolvedFailure& call = open.call;
-        const bool is_named = std::any_of(
+        const bool is_listed = std::any_of(
             ports.begin(), ports.end(), [&call](const ProbeTarget& port) {
                 return port.runner == call.runner &&
                        port.start_ms == call.start_ms;
             });
-        if (!is_named)
+        if (!is_listed)
             ports.push_back({call.runner, call.start_ms, call.address});
     }
     // One probe covers all failures there whose probes are due soon.
     for (const ProbeTarget& port : ports)
-        for (Open& open : m_breaks)
+        for (Open& open : m_failures)
             while (is_of(open.call, {port.runner, port.start_ms}) &&
-                   next_look(open) && *next_look(open) <= now + look_pause)
-                ++open.looks;
+                   next_probe(open) &&
+                   *next_probe(open) <= now + min_probe_interval)
+                ++open.probes;
     return ports;
 }
 
 /// Returns when the port of a failed call is to be probed next.
 std::optional<TimePoint>
-UnresolvedFailures::next_look(const Open& open)
+UnresolvedFailures::next_probe(const Open& open)
 {
-    if (!open.call.is_looked_at || open.looks >= look_after.size())
+    if (!open.call.probes_port || open.probes >= probe_delays.size())
         return std::nullopt;
-    return open.call.broke_at + look_after[open.looks];
+    return open.call.failed_at + probe_delays[open.probes];
 }
 
 std::optional<TimePoint>
@@ -224,21 +226,21 @@
         if (at && (!next || *at < *next))
             next = at;
     };
-    for (const Open& open : m_breaks)
-        consider(next_look(open));
+    for (const Open& open : m_failures)
+        consider(next_probe(open));
     for (const Gone& gone : m_undecided)
-        consider(gone.at + gone_together);
+        consider(gone.at + cutoff_window);
     return next;
 }
 
 void
 UnresolvedFailures::expire(TimePoint now)
 {
-    std::erase_if(m_breaks, [now](const Open& open) {
-        return open.call.broke_at + open_for <= now;
+    std::erase_if(m_failures, [now](const Open& open) {
+        return open.call.failed_at + decision_time <= now;
     });
     std::erase_if(m_ended, [now](const Ended& ended) {
-        return ended.at + open_for <= now;
+        return ended.at + decision_time <= now;
     });
 }
 
--- a/src/libcrosslink/forward/unresolved_failures_test.cpp
+++ b/src/libcrosslink/forward/unresolved_failures_test.cpp
@@ -24,7 +24,7 @@
 
 /// A call of `request` that failed at `runner`, which was started at 1.
 UnresolvedFailure
-broken(const std::string& request, const std::string& runner, int millis)
+failed_call(const std::string& request, const std::string& runner, int millis)
 {
     return {request, runner, 1, "a:" + runner, false, at(millis), true};
 }
@@ -33,31 +33,31 @@
 
 TEST_CASE("failed calls of a process count once its end is known")
 {
-    UnresolvedFailures breaks;
-    CHECK_FALSE(breaks.add(broken("d1", "r1", 0), at(0)));
-    CHECK_FALSE(breaks.add(broken("d2", "r1", 10), at(10)));
-    CHECK_FALSE(breaks.add(broken("d3", "r2", 20), at(20)));
-    CHECK(breaks.has("d1", at(20)));
-    CHECK(breaks.ended({"r1", 2}, at(1000)).empty());
-    const auto calls = breaks.ended({"r1", 1}, at(2000));
+    UnresolvedFailures failures;
+    CHECK_FALSE(failures.add(failed_call("d1", "r1", 0), at(0)));
+    CHECK_FALSE(failures.add(failed_call("d2", "r1", 10), at(10)));
+    CHECK_FALSE(failures.add(failed_call("d3", "r2", 20), at(20)));
+    CHECK(failures.has("d1", at(20)));
+    CHECK(failures.ended({"r1", 2}, at(1000)).empty());
+    const auto calls = failures.ended({"r1", 1}, at(2000));
     REQUIRE(calls.size() == 2);
     // An answer that came meanwhile still proves the request harmless.
     CHECK(calls[0].ended_at == at(0));
-    CHECK_FALSE(breaks.has("d1", at(2000)));
-    CHECK(breaks.has("d3", at(2000)));
+    CHECK_FALSE(failures.has("d1", at(2000)));
+    CHECK(failures.has("d3", at(2000)));
     // A failure that is reported later counts at once.
-    CHECK(breaks.add(broken("d4", "r1", 2010), at(2010)));
-    CHECK(breaks.ended({"r1", 1}, at(2010)).size() == 1);
+    CHECK(failures.add(failed_call("d4", "r1", 2010), at(2010)));
+    CHECK(failures.ended({"r1", 1}, at(2010)).size() == 1);
 }
 
 TEST_CASE("a request that a process broke several times counts as one end")
 {
-    UnresolvedFailures breaks;
-    breaks.add(broken("d", "r", 0), at(0));
-    UnresolvedFailure again = broken("d", "r", 1500);
+    UnresolvedFailures failures;
+    failures.add(failed_call("d", "r", 0), at(0));
+    UnresolvedFailure again = failed_call("d", "r", 1500);
     again.again = true;
-    breaks.add(again, at(1500));
-    const auto calls = breaks.ended({"r", 1}, at(2500));
+    failures.add(again, at(1500));
+    const auto calls = failures.ended({"r", 1}, at(2500));
     REQUIRE(calls.size() == 1);
     CHECK(calls[0].ended_at == at(0));
     CHECK(calls[0].again);
@@ -71,48 +71,48 @@
 
 TEST_CASE("a failure without a decision in time does not count as an end")
 {
-    UnresolvedFailures breaks;
-    breaks.add(broken("d", "r", 0), at(0));
-    CHECK_FALSE(breaks.has("d", at(6000)));
-    CHECK(breaks.ended({"r", 1}, at(6000)).empty());
+    UnresolvedFailures failures;
+    failures.add(failed_call("d", "r", 0), at(0));
+    CHECK_FALSE(failures.has("d", at(6000)));
+    CHECK(failures.ended({"r", 1}, at(6000)).empty());
 }
 
 TEST_CASE("a process that answers later calls, or leaves, has not ended")
 {
-    UnresolvedFailures breaks;
-    breaks.add(broken("d", "r", 0), at(0));
-    breaks.lives({"r", 1}, at(0));
-    CHECK(breaks.has("d", at(1)));
-    breaks.lives({"r", 1}, at(5));
-    CHECK(breaks.empty());
-    breaks.add(broken("d", "r", 10), at(10));
-    breaks.leaves({"r", 1});
-    CHECK(breaks.empty());
+    UnresolvedFailures failures;
+    failures.add(failed_call("d", "r", 0), at(0));
+    failures.lives({"r", 1}, at(0));
+    CHECK(failures.has("d", at(1)));
+    failures.lives({"r", 1}, at(5));
+    CHECK(failures.empty());
+    failures.add(failed_call("d", "r", 10), at(10));
+    failures.leaves({"r", 1});
+    CHECK(failures.empty());
 }
 
 TEST_CASE("a new process at the address tells that the one before ended")
 {
-    UnresolvedFailures breaks;
-    breaks.add(broken("d1", "r1", 0), at(0));
-    breaks.add(broken("d2", "r1", 0), at(0));
-    breaks.add(broken("d3", "r2", 0), at(0));
-    CHECK(breaks.replaced_at("a:r1", {"r1", 1}, at(50)).empty());
-    CHECK(breaks.replaced_at("a:r1", {"other", 1}, at(50)).size() == 2);
-    CHECK(breaks.replaced_at("a:r2", {"r2", 7}, at(50)).size() == 1);
-    CHECK(breaks.empty());
+    UnresolvedFailures failures;
+    failures.add(failed_call("d1", "r1", 0), at(0));
+    failures.add(failed_call("d2", "r1", 0), at(0));
+    failures.add(failed_call("d3", "r2", 0), at(0));
+    CHECK(failures.replaced_at("a:r1", {"r1", 1}, at(50)).empty());
+    CHECK(failures.replaced_at("a:r1", {"other", 1}, at(50)).size() == 2);
+    CHECK(failures.replaced_at("a:r2", {"r2", 7}, at(50)).size() == 1);
+    CHECK(failures.empty());
 }
 
 TEST_CASE("a runner that goes by itself ended, a zone that goes did not")
 {
-    UnresolvedFailures breaks;
-    breaks.add(broken("d", "r", 0), at(0));
-    breaks.gone({"r", 1}, "z", 6, at(1000));
-    CHECK(breaks.take_gone(at(1400)).empty());
-    CHECK(breaks.next_due() == at(250));
-    CHECK(breaks.take_gone(at(2500)).size() == 1);
+    UnresolvedFailures failures;
+    failures.add(failed_call("d", "r", 0), at(0));
+    failures.gone({"r", 1}, "z", 6, at(1000));
+    CHECK(failures.take_gone(at(1400)).empty());
+    CHECK(failures.next_due() == at(250));
+    CHECK(failures.take_gone(at(2500)).size() == 1);
 
     UnresolvedFailures cut;
-    cut.add(broken("d", "r", 0), at(0));
+    cut.add(failed_call("d", "r", 0), at(0));
     cut.gone({"r", 1}, "z", 6, at(1000));
     for (const char* other : {"r2", "r3"})
         cut.gone({other, 1}, "z", 5, at(1900));
@@ -122,32 +122,33 @@
 
 TEST_CASE("a port is probed a few times, however many calls failed there")
 {
-    UnresolvedFailures breaks;
+    UnresolvedFailures failures;
     for (int i = 0; i < 20; ++i)
-        breaks.add(broken("d" + std::to_string(i), "r", 10 * i), at(10 * i));
-    UnresolvedFailure failed = broken("d", "other", 0);
-    failed.is_looked_at = false;
-    breaks.add(failed, at(0));
-    CHECK(breaks.take_due(at(200)).empty());
-    int looks = 0;
+        failures.add(failed_call("d" + std::to_string(i), "r", 10 * i),
+                     at(10 * i));
+    UnresolvedFailure failed = failed_call("d", "other", 0);
+    failed.probes_port = false;
+    failures.add(failed, at(0));
+    CHECK(failures.take_due(at(200)).empty());
+    int probes = 0;
     for (int ms = 200; ms < 6000; ms += 10)
-        for (const ProbeTarget& port : breaks.take_due(at(ms))) {
+        for (const ProbeTarget& port : failures.take_due(at(ms))) {
             CHECK(port.runner == "r");
             CHECK(port.address == "a:r");
-            ++looks;
+            ++probes;
         }
-    CHECK(looks >= 4);
-    CHECK(looks <= 6);
-    CHECK_FALSE(breaks.next_due());
+    CHECK(probes >= 4);
+    CHECK(probes <= 6);
+    CHECK_FALSE(failures.next_due());
 }
 
 TEST_CASE("the number of undecided failures is bounded, and the newest stay")
 {
-    UnresolvedFailures breaks;
-    for (std::size_t i = 0; i < 2 * UnresolvedFailures::most_open; ++i)
-        breaks.add(broken("d" + std::to_string(i), "r", 0), at(0));
-    CHECK(breaks.ended({"r", 1}, at(10)).size() ==
-          UnresolvedFailures::most_open);
+    UnresolvedFailures failures;
+    for (std::size_t i = 0; i < 2 * UnresolvedFailures::max_open; ++i)
+        failures.add(failed_call("d" + std::to_string(i), "r", 0), at(0));
+    CHECK(failures.ended({"r", 1}, at(10)).size() ==
+          UnresolvedFailures::max_open);
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/forward/warm_up_limit_test.cpp
+++ b/src/libcrosslink/forward/warm_up_limit_test.cpp
@@ -42,7 +42,7 @@
 }
 
 /// A simulated fleet with runners of which some return cold.
-struct Scene {
+struct Scenario {
     int instances = 71;
     int runners = 60;
     int cold = 25; ///< Number of them that return cold together.
@@ -58,28 +58,28 @@
 class ColdFleet
 {
 public:
-    ColdFleet(const Scene& scene, std::uint64_t seed)
-        : m_scene(scene), m_random(seed),
-          m_tables(static_cast<std::size_t>(scene.instances))
+    ColdFleet(const Scenario& scenario, std::uint64_t seed)
+        : m_scenario(scenario), m_random(seed),
+          m_tables(static_cast<std::size_t>(scenario.instances))
     {
         for (std::size_t i = 0; i < m_tables.size(); ++i)
             start(i, -10'000);
     }
 
     /// Simulates 6 s; the runners return cold after the first.
-    void play()
+    void run()
     {
         for (int ms = 0; ms < 6000; ++ms) {
             if (ms == 1000)
-                come_back();
-            if (m_scene.split && ms == 1500)
+                return_cold();
+            if (m_scenario.split && ms == 1500)
                 split();
-            if (m_scene.restarts && ms % 200 == 0)
+            if (m_scenario.restarts && ms % 200 == 0)
                 start(m_random() % m_tables.size(), ms);
-            take_news(ms);
+            apply_news(ms);
             if (ms % 150 == 0)
-                tell_load(ms);
-            std::poisson_distribution<int> count(m_scene.calls_per_second /
+                report_load(ms);
+            std::poisson_distribution<int> count(m_scenario.calls_per_second /
                                                  1000.0);
             for (int i = count(m_random); i > 0; --i)
                 send(m_random() % m_tables.size(), ms);
@@ -117,11 +117,11 @@
         for (std::size_t i = 0; i < m_tables.size(); ++i)
             table.members().listed({name_of(i), "127.0.0.1:1", zone_of(i), 0},
                                    at(ms));
-        for (int i = 0; i < m_scene.runners; ++i) {
+        for (int i = 0; i < m_scenario.runners; ++i) {
             const auto place = static_cast<std::size_t>(i);
             ListedRunner listed =
                 runner("r" + std::to_string(i), zone_of(place), m_back ? 2 : 1);
-            if (i >= m_scene.cold)
+            if (i >= m_scenario.cold)
                 listed.start_ms = 1;
             else if (m_back)
                 listed.cold_for = cold_time;
@@ -131,10 +131,10 @@
 
     /// Runners that did not end have streams in flight, so that the returning
     /// ones are the idle ones.
-    void tell_load(int ms)
+    void report_load(int ms)
     {
         std::map<std::string, RunnerLoad> load;
-        for (int i = m_scene.cold; i < m_scene.runners; ++i)
+        for (int i = m_scenario.cold; i < m_scenario.runners; ++i)
             load["r" + std::to_string(i)] = {40, 4000, 0};
         for (RunnerTable& table : m_tables)
             table.others_told(load, at(ms));
@@ -143,16 +143,16 @@
     /// Instances learn of the return one after the other. Before that,
     /// connection failures are detected and reported while the runners are
     /// away.
-    void come_back()
+    void return_cold()
     {
         m_back = true;
         for (std::size_t i = 0; i < m_tables.size(); ++i)
-            for (int r = 0; r < m_scene.cold; ++r) {
+            for (int r = 0; r < m_scenario.cold; ++r) {
                 const std::string id = "r" + std::to_string(r);
                 m_tables[i].connection_failed(id, at(900));
                 const int delay = static_cast<int>(
                     m_random() %
-                    static_cast<std::uint64_t>(m_scene.news_spread_ms + 1));
+                    static_cast<std::uint64_t>(m_scenario.news_spread_ms + 1));
                 m_news.emplace(1000 + delay, News{i, id});
             }
     }
@@ -166,7 +166,7 @@
                     m_tables[i].members().gone(name_of(other), at(1500));
     }
 
-    void take_news(int ms)
+    void apply_news(int ms)
     {
         while (!m_news.empty() && m_news.begin()->first <= ms) {
             const News news = m_news.begin()->second;
@@ -187,7 +187,7 @@
         query.zone = zone;
         query.instance = name;
         query.instances = m_tables.size();
-        query.warm_up = {cold_time, m_scene.limit};
+        query.warm_up = {cold_time, m_scenario.limit};
         query.tokens = 4000;
         query.random = m_random();
         query.now = at(ms);
@@ -199,7 +199,7 @@
         table.reserve(pick->incarnation());
         table.sent(pick->incarnation(), 0, 0, at(ms));
         ++m_sent;
-        if (m_back && std::stoi(pick->id.substr(1)) < m_scene.cold)
+        if (m_back && std::stoi(pick->id.substr(1)) < m_scenario.cold)
             count_cold(pick->id, ms);
     }
 
@@ -214,7 +214,7 @@
             m_most = std::max(m_most, times.size());
     }
 
-    const Scene m_scene;
+    const Scenario m_scenario;
     std::mt19937_64 m_random;
     std::vector<RunnerTable> m_tables; ///< One for each instance.
     std::multimap<int, News> m_news;   ///< By arrival time.
@@ -229,12 +229,12 @@
 /// Returns the most calls that a cold runner got within a second, of three
 /// simulations.
 std::size_t
-most_of(const Scene& scene)
+most_of(const Scenario& scenario)
 {
     std::size_t most = 0;
     for (const std::uint64_t seed : {1, 2, 3}) {
-        ColdFleet fleet(scene, seed);
-        fleet.play();
+        ColdFleet fleet(scenario, seed);
+        fleet.run();
         most = std::max(most, fleet.most_in_a_second());
     }
     return most;
@@ -278,35 +278,35 @@
 TEST_CASE("a fleet of any size spares cold runners")
 {
     for (const int instances : {3, 9, 71, 295}) {
-        Scene scene;
-        scene.instances = instances;
+        Scenario scenario;
+        scenario.instances = instances;
         INFO(instances << " instances");
-        CHECK(static_cast<double>(most_of(scene)) <= scene.limit);
+        CHECK(static_cast<double>(most_of(scenario)) <= scenario.limit);
     }
 }
 
 TEST_CASE("a fleet that does not agree on its size spares cold runners")
 {
-    Scene split;
+    Scenario split;
     split.split = true;
     CHECK(static_cast<double>(most_of(split)) <= split.limit);
-    Scene restarts;
+    Scenario restarts;
     restarts.restarts = true;
     CHECK(static_cast<double>(most_of(restarts)) <= restarts.limit);
 }
 
 TEST_CASE("without the limit cold runners get more than they bear")
 {
-    Scene scene;
-    scene.limit = 0;
-    CHECK(most_of(scene) > 22);
+    Scenario scenario;
+    scenario.limit = 0;
+    CHECK(most_of(scenario) > 22);
 }
 
 TEST_CASE("cold runners still get work, and every call finds a runner")
 {
-    const Scene scene;
-    ColdFleet fleet(scene, 1);
-    fleet.play();
+    const Scenario scenario;
+    ColdFleet fleet(scenario, 1);
+    fleet.run();
     INFO("sent " << fleet.sent() << ", to cold ones " << fleet.sent_cold());
     CHECK(fleet.sent() == fleet.asked());
     CHECK(fleet.sent_cold() > 300);
