--- a/src/include/crosslink/forward/runner_notices.h
+++ b/src/include/crosslink/forward/runner_notices.h
@@ -40,8 +40,8 @@
 
 /// Returns when a `backoff` that a runner requested at `now` is over: not
 /// sooner, and later by at most an eighth of it and at most a second, with
-/// jitter from `random` bits. A runner that requested it of many instances does
-/// not get calls from all of them at once.
+/// jitter from `random` bits. Without the jitter, a runner that requested a
+/// backoff of many instances would get calls from all of them at once.
 TimePoint backoff_end(Micros backoff, TimePoint now, std::uint64_t random);
 
 } // namespace crosslink
--- a/src/libcrosslink/forward/crash_history_test.cpp
+++ b/src/libcrosslink/forward/crash_history_test.cpp
@@ -24,7 +24,7 @@
 
 /// A call whose runner ended at `ended`.
 InterruptedCall
-broken(int runner, int ended, std::string_view digest = request)
+interrupted(int runner, int ended, std::string_view digest = request)
 {
     return {std::string(digest), "runner-" + std::to_string(runner), 0, false,
             at(ended)};
@@ -32,9 +32,9 @@
 
 /// The same, sent when another end was known.
 InterruptedCall
-broken_again(int runner, int ended)
+interrupted_again(int runner, int ended)
 {
-    InterruptedCall call = broken(runner, ended);
+    InterruptedCall call = interrupted(runner, ended);
     call.again = true;
     return call;
 }
@@ -46,7 +46,8 @@
 {
     CrashHistory history;
     for (int i = 0; i < ends; ++i)
-        history.ended(i == 0 ? broken(i, 1000) : broken_again(i, 1000 + 10 * i),
+        history.ended(i == 0 ? interrupted(i, 1000)
+                             : interrupted_again(i, 1000 + 10 * i),
                       at(1100));
     return history;
 }
@@ -66,10 +67,10 @@
 {
     CrashHistory history;
     for (int runner = 0; runner < 9; ++runner)
-        history.ended(broken(runner, 1000 + 10 * runner), at(1100));
+        history.ended(interrupted(runner, 1000 + 10 * runner), at(1100));
     CHECK_FALSE(history.blocked(request, at(1100)));
     // A copy that is sent when these ends are known, and ends one more runner.
-    history.ended(broken_again(9, 1300), at(1300));
+    history.ended(interrupted_again(9, 1300), at(1300));
     CHECK(history.blocked(request, at(1300)));
 }
 
@@ -81,7 +82,7 @@
     CHECK(history.ends(request) == 0);
     // Weights that were loaded since may make it end runners.
     for (int i = 0; i < 3; ++i)
-        history.ended(broken_again(10 + i, 2000 + 200 * i), at(2500));
+        history.ended(interrupted_again(10 + i, 2000 + 200 * i), at(2500));
     CHECK(history.blocked(request, at(2500)));
 }
 
@@ -97,21 +98,21 @@
     // Answers without a reported end are forgotten one by one.
     for (std::size_t i = 0; i < 2 * CrashHistory::most_answers; ++i)
         history.answered("other-" + std::to_string(i), at(2000), at(2200));
-    history.ended(broken(5, 1000, "other-0"), at(2200));
+    history.ended(interrupted(5, 1000, "other-0"), at(2200));
     CHECK(history.ends("other-0") == 1);
 }
 
 TEST_CASE("an end that several instances report counts once")
 {
     CrashHistory history;
-    CHECK(history.ended(broken(1, 1000), at(1100)));
-    CHECK_FALSE(history.ended(broken(1, 1030), at(1200)));
+    CHECK(history.ended(interrupted(1, 1000), at(1100)));
+    CHECK_FALSE(history.ended(interrupted(1, 1030), at(1200)));
     CHECK(history.ends(request) == 1);
     // A later process with the same id, recognized by its start or by the time.
-    InterruptedCall anew = broken(1, 1000);
-    anew.start_ms = 7;
-    CHECK(history.ended(anew, at(1200)));
-    CHECK(history.ended(broken(1, 4000), at(4200)));
+    InterruptedCall restarted = interrupted(1, 1000);
+    restarted.start_ms = 7;
+    CHECK(history.ended(restarted, at(1200)));
+    CHECK(history.ended(interrupted(1, 4000), at(4200)));
     CHECK(history.ends(request) == 3);
 }
 
@@ -150,7 +151,7 @@
     // Copies that were lost at once do not block it.
     CrashHistory history;
     for (int runner = 0; runner < 3; ++runner)
-        history.ended(broken(runner, 1000), at(1100));
+        history.ended(interrupted(runner, 1000), at(1100));
     CHECK_FALSE(history.blocked(request, at(1100)));
     history.hold(request, at(1200), at(1200));
     CHECK(history.blocked(request, at(1200)));
@@ -186,7 +187,7 @@
 {
     CrashHistory history = ended_in_turn(3);
     for (std::size_t i = 0; i < 2 * CrashHistory::most_requests; ++i)
-        history.ended(broken(1, 2000, "other-" + std::to_string(i)),
+        history.ended(interrupted(1, 2000, "other-" + std::to_string(i)),
                       at(2100) + Micros(i));
     CHECK(history.blocked(request, at(2200)));
     CHECK(history.ends("other-0") == 0);
@@ -226,7 +227,7 @@
 {
     CrashHistory history = ended_in_turn(2);
     CHECK(history.take_newly_blocked(at(1100)).empty());
-    history.ended(broken_again(7, 1200), at(1300));
+    history.ended(interrupted_again(7, 1200), at(1300));
     CHECK(history.take_newly_blocked(at(1300)).size() == 1);
     CHECK(history.take_newly_blocked(at(1300)).empty());
 }
--- a/src/libcrosslink/forward/crash_simulation_test.cpp
+++ b/src/libcrosslink/forward/crash_simulation_test.cpp
@@ -27,13 +27,13 @@
 void
 check_one(const CrashPlay& play)
 {
-    PlayedCrashes played(play);
-    played.run();
+    PlayedCrashes simulation(play);
+    simulation.run();
     INFO("instances " << play.instances << " seed " << play.seed << " ends "
-                      << played.ends());
-    CHECK(played.ends() >= CrashHistory::most_ends);
-    CHECK(played.sent_later() <= most_sent_later);
-    CHECK(played.refused() > 0);
+                      << simulation.ends());
+    CHECK(simulation.ends() >= CrashHistory::most_ends);
+    CHECK(simulation.sent_later() <= most_sent_later);
+    CHECK(simulation.refused() > 0);
 }
 
 /// Simulates fleets of all sizes with all seeds.
@@ -118,13 +118,13 @@
             play.seed = seed;
             play.callers = 12;
             play.lost_each = std::chrono::seconds(1);
-            PlayedCrashes played(play);
-            played.run();
+            PlayedCrashes simulation(play);
+            simulation.run();
             INFO("instances " << instances << " seed " << seed << " ends "
-                              << played.ends());
-            CHECK(played.ends() > CrashHistory::most_ends);
-            CHECK(played.refused() == 0);
-            CHECK_FALSE(played.any_blocked());
+                              << simulation.ends());
+            CHECK(simulation.ends() > CrashHistory::most_ends);
+            CHECK(simulation.refused() == 0);
+            CHECK_FALSE(simulation.any_blocked());
         }
 }
 
--- a/src/libcrosslink/forward/fair_share_tracker_test.cpp
+++ b/src/libcrosslink/forward/fair_share_tracker_test.cpp
@@ -21,34 +21,34 @@
 
 TEST_CASE("an account is ahead that got more places than the mean")
 {
-    FairShareTracker turns;
+    FairShareTracker tracker;
     for (const char* account : {"a", "b"})
-        turns.asked("s", account, at(100'000));
-    CHECK_FALSE(turns.is_ahead("s", "a", at(100'000)));
-    turns.taken("s", "a", at(100'000));
-    CHECK(turns.is_ahead("s", "a", at(100'000)));
-    CHECK_FALSE(turns.is_ahead("s", "b", at(100'000)));
-    CHECK_FALSE(turns.is_ahead("other", "a", at(100'000)));
-    turns.taken("s", "b", at(100'010));
-    CHECK_FALSE(turns.is_ahead("s", "a", at(100'010)));
+        tracker.asked("s", account, at(100'000));
+    CHECK_FALSE(tracker.is_ahead("s", "a", at(100'000)));
+    tracker.taken("s", "a", at(100'000));
+    CHECK(tracker.is_ahead("s", "a", at(100'000)));
+    CHECK_FALSE(tracker.is_ahead("s", "b", at(100'000)));
+    CHECK_FALSE(tracker.is_ahead("other", "a", at(100'000)));
+    tracker.taken("s", "b", at(100'010));
+    CHECK_FALSE(tracker.is_ahead("s", "a", at(100'010)));
 }
 
 TEST_CASE("an account is not ahead of those that ask for nothing")
 {
-    FairShareTracker turns;
-    turns.asked("s", "b", at(100'000));
-    turns.asked("s", "a", at(106'000));
-    turns.taken("s", "a", at(106'000));
-    CHECK_FALSE(turns.is_ahead("s", "a", at(106'000)));
+    FairShareTracker tracker;
+    tracker.asked("s", "b", at(100'000));
+    tracker.asked("s", "a", at(106'000));
+    tracker.taken("s", "a", at(106'000));
+    CHECK_FALSE(tracker.is_ahead("s", "a", at(106'000)));
 }
 
 TEST_CASE("places granted long ago do not count")
 {
-    FairShareTracker turns;
-    turns.taken("s", "a", at(0));
+    FairShareTracker tracker;
+    tracker.taken("s", "a", at(0));
     for (const char* account : {"a", "b"})
-        turns.asked("s", account, at(100'000));
-    CHECK_FALSE(turns.is_ahead("s", "a", at(100'000)));
+        tracker.asked("s", account, at(100'000));
+    CHECK_FALSE(tracker.is_ahead("s", "a", at(100'000)));
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/forward/limit_simulation_test.cpp
+++ b/src/libcrosslink/forward/limit_simulation_test.cpp
@@ -37,7 +37,7 @@
 /// calls and runners, and calls `check` for each.
 template<typename Check>
 void
-play_all(LimitPlay play, Check check)
+simulate_all(LimitPlay play, Check check)
 {
     for (const std::size_t instances : sizes)
         for (const std::uint32_t seed : seeds) {
@@ -45,27 +45,27 @@
             play.seed = seed;
             play.calls_per_second = static_cast<double>(std::clamp<std::size_t>(
                 instances * calls_each, 36, most_calls));
-            PlayedLimits played(play);
-            played.run();
+            PlayedLimits simulation(play);
+            simulation.run();
             INFO(instances << " instances, seed " << seed);
-            check(played);
+            check(simulation);
         }
 }
 
 void
 check_spared(const LimitPlay& play)
 {
-    play_all(play, [](const PlayedLimits& played) {
-        CHECK(played.most_beyond() <= 0);
+    simulate_all(play, [](const PlayedLimits& simulation) {
+        CHECK(simulation.most_beyond() <= 0);
     });
 }
 
 void
 check_spared_and_others_serve(const LimitPlay& play)
 {
-    play_all(play, [](const PlayedLimits& played) {
-        CHECK(played.most_beyond() <= 0);
-        CHECK(played.refused() == 0);
+    simulate_all(play, [](const PlayedLimits& simulation) {
+        CHECK(simulation.most_beyond() <= 0);
+        CHECK(simulation.refused() == 0);
     });
 }
 
@@ -125,8 +125,8 @@
         for (const bool one_zone : {false, true}) {
             play.one_zone_calls = one_zone;
             INFO("limit " << limit << " one zone " << one_zone);
-            play_all(play, [](const PlayedLimits& played) {
-                CHECK(played.believers() == 0);
+            simulate_all(play, [](const PlayedLimits& simulation) {
+                CHECK(simulation.believers() == 0);
             });
         }
     }
@@ -136,9 +136,9 @@
 {
     LimitPlay play;
     play.born_again = after(12);
-    play_all(play, [](const PlayedLimits& played) {
-        CHECK(played.believers() == 0);
-        CHECK(played.refused() == 0);
+    simulate_all(play, [](const PlayedLimits& simulation) {
+        CHECK(simulation.believers() == 0);
+        CHECK(simulation.refused() == 0);
     });
 }
 
@@ -149,10 +149,10 @@
     for (const double limit : {0.4, 1.5}) {
         play.steps = {{after(4), limit}};
         INFO("limit " << limit);
-        play_all(play, [](const PlayedLimits& played) {
-            CHECK(played.most_beyond() <= 0);
-            CHECK(played.part_taken(TimePoint{} + after(8)) > 0.5);
-            CHECK(played.refused() > 0);
+        simulate_all(play, [](const PlayedLimits& simulation) {
+            CHECK(simulation.most_beyond() <= 0);
+            CHECK(simulation.part_taken(TimePoint{} + after(8)) > 0.5);
+            CHECK(simulation.refused() > 0);
         });
     }
 }
@@ -166,11 +166,11 @@
     play.calls_per_second = 70;
     for (const std::uint32_t seed : seeds) {
         play.seed = seed;
-        PlayedLimits played(play);
-        played.run();
+        PlayedLimits simulation(play);
+        simulation.run();
         // Its fair share is half of all, and 0.1 of the calls request as much.
-        const auto few = static_cast<double>(played.taken_by_few());
-        CHECK(few > 0.25 * static_cast<double>(played.taken()));
+        const auto few = static_cast<double>(simulation.taken_by_few());
+        CHECK(few > 0.25 * static_cast<double>(simulation.taken()));
     }
 }
 
--- a/src/libcrosslink/forward/load_aggregator_test.cpp
+++ b/src/libcrosslink/forward/load_aggregator_test.cpp
@@ -19,28 +19,28 @@
     const auto at = [](int millis) {
         return TimePoint(std::chrono::milliseconds(millis));
     };
-    LoadAggregator board;
-    board.told("one", {{"r", {1, 100}}}, at(0));
-    board.told("two", {{"r", {2, 200}}, {"q", {1, 1}}}, at(0));
-    board.told("three", {{"r", {4, 400}}}, at(10));
-    const auto load = board.others("one", at(20));
+    LoadAggregator aggregator;
+    aggregator.told("one", {{"r", {1, 100}}}, at(0));
+    aggregator.told("two", {{"r", {2, 200}}, {"q", {1, 1}}}, at(0));
+    aggregator.told("three", {{"r", {4, 400}}}, at(10));
+    const auto load = aggregator.others("one", at(20));
     CHECK(load.at("r").calls == 6);
     CHECK(load.at("r").tokens == 600);
     CHECK(load.at("q").calls == 1);
-    CHECK(board.others("one", at(1005)).at("r").calls == 4);
-    board.told("two", {}, at(2000));
-    CHECK(board.others("one", at(2000)).empty());
+    CHECK(aggregator.others("one", at(1005)).at("r").calls == 4);
+    aggregator.told("two", {}, at(2000));
+    CHECK(aggregator.others("one", at(2000)).empty());
 }
 
 TEST_CASE("the sum consists of the latest reports, whatever came before")
 {
-    CHECK(rc::check("a board is the sum of its instances", [] {
-        LoadAggregator board;
+    CHECK(rc::check("the sum is that of all instances", [] {
+        LoadAggregator aggregator;
         std::map<std::string, std::map<std::string, RunnerLoad>> last;
-        const auto words =
+        const auto reports =
             *rc::gen::container<std::vector<std::pair<int, int>>>(
                 rc::gen::pair(rc::gen::inRange(0, 4), rc::gen::inRange(0, 9)));
-        for (const auto& [instance, calls] : words) {
+        for (const auto& [instance, calls] : reports) {
             const std::string name = "i" + std::to_string(instance);
             const auto count = static_cast<std::uint64_t>(calls);
             last[name] = {
@@ -48,13 +48,13 @@
                  {static_cast<std::uint32_t>(calls), count * 100, count * 7}}};
             if (calls == 0)
                 last[name].clear();
-            board.told(name, last[name], TimePoint{});
+            aggregator.told(name, last[name], TimePoint{});
         }
         std::map<std::string, RunnerLoad> sum;
         for (const auto& [name, load] : last)
             if (name != "i0")
                 add_load(sum, load);
-        RC_ASSERT(board.others("i0", TimePoint{}) == sum);
+        RC_ASSERT(aggregator.others("i0", TimePoint{}) == sum);
     }));
 }
 
