--- a/src/libcrosslink/forward/limit_play_test.cpp
+++ b/src/libcrosslink/forward/limit_simulation_test.cpp
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-// Fleets of 3 to 300 instances before runners in need, which name how many
-// calls a second they take from all of them together. Where each instance went
-// by price alone, such a runner got as many calls as the others.
+// Simulates fleets of 3 to 300 instances with overloaded runners, which
+// advertise how many calls a second they accept from all instances together. If
+// each instance chose by price alone, such a runner would get as many calls as
+// the others.
 
 #include "../testing/played_limits.h"
 
@@ -23,7 +24,7 @@
 
 constexpr std::array<std::size_t, 4> sizes{3, 16, 71, 300};
 constexpr std::array<std::uint32_t, 3> seeds{1, 2, 3};
-constexpr std::size_t calls_each = 4; ///< A second, at each instance.
+constexpr std::size_t calls_each = 4; ///< Calls a second at each instance.
 constexpr std::size_t most_calls = 500;
 
 Micros
@@ -32,11 +33,11 @@
     return from_seconds(span);
 }
 
-/// Plays `play` at all sizes with all seeds, with calls and runners to match,
-/// and lets `check` look at each.
+/// Simulates `play` at all sizes with all seeds, with a matching number of
+/// calls and runners, and calls `check` for each.
 template<typename Check>
 void
-play_all(LimitPlay play, Check check)
+simulate_all(LimitPlay play, Check check)
 {
     for (const std::size_t instances : sizes)
         for (const std::uint32_t seed : seeds) {
@@ -44,27 +45,27 @@
             play.seed = seed;
             play.calls_per_second = static_cast<double>(std::clamp<std::size_t>(
                 instances * calls_each, 36, most_calls));
-            PlayedLimits played(play);
-            played.run();
+            PlayedLimits simulation(play);
+            simulation.run();
             INFO(instances << " instances, seed " << seed);
-            check(played);
+            check(simulation);
         }
 }
 
 void
 check_spared(const LimitPlay& play)
 {
-    play_all(play, [](const PlayedLimits& played) {
-        CHECK(played.most_beyond() <= 0);
+    simulate_all(play, [](const PlayedLimits& simulation) {
+        CHECK(simulation.most_beyond() <= 0);
     });
 }
 
 void
 check_spared_and_others_serve(const LimitPlay& play)
 {
-    play_all(play, [](const PlayedLimits& played) {
-        CHECK(played.most_beyond() <= 0);
-        CHECK(played.refused() == 0);
+    simulate_all(play, [](const PlayedLimits& simulation) {
+        CHECK(simulation.most_beyond() <= 0);
+        CHECK(simulation.refused() == 0);
     });
 }
 
@@ -80,7 +81,7 @@
     }
 }
 
-TEST_CASE("so it is where words are lost or late")
+TEST_CASE("runners are not overloaded when messages are lost or late")
 {
     LimitPlay play;
     play.lost = 0.25;
@@ -124,8 +125,8 @@
         for (const bool one_zone : {false, true}) {
             play.one_zone_calls = one_zone;
             INFO("limit " << limit << " one zone " << one_zone);
-            play_all(play, [](const PlayedLimits& played) {
-                CHECK(played.believers() == 0);
+            simulate_all(play, [](const PlayedLimits& simulation) {
+                CHECK(simulation.believers() == 0);
             });
         }
     }
@@ -135,9 +136,9 @@
 {
     LimitPlay play;
     play.born_again = after(12);
-    play_all(play, [](const PlayedLimits& played) {
-        CHECK(played.believers() == 0);
-        CHECK(played.refused() == 0);
+    simulate_all(play, [](const PlayedLimits& simulation) {
+        CHECK(simulation.believers() == 0);
+        CHECK(simulation.refused() == 0);
     });
 }
 
@@ -148,10 +149,10 @@
     for (const double limit : {0.4, 1.5}) {
         play.steps = {{after(4), limit}};
         INFO("limit " << limit);
-        play_all(play, [](const PlayedLimits& played) {
-            CHECK(played.most_beyond() <= 0);
-            CHECK(played.part_taken(TimePoint{} + after(8)) > 0.5);
-            CHECK(played.refused() > 0);
+        simulate_all(play, [](const PlayedLimits& simulation) {
+            CHECK(simulation.most_beyond() <= 0);
+            CHECK(simulation.part_taken(TimePoint{} + after(8)) > 0.5);
+            CHECK(simulation.refused() > 0);
         });
     }
 }
@@ -165,11 +166,11 @@
     play.calls_per_second = 70;
     for (const std::uint32_t seed : seeds) {
         play.seed = seed;
-        PlayedLimits played(play);
-        played.run();
-        // Half of all would be its part: 0.1 of the calls ask for as much.
-        const auto few = static_cast<double>(played.taken_by_few());
-        CHECK(few > 0.25 * static_cast<double>(played.taken()));
+        PlayedLimits simulation(play);
+        simulation.run();
+        // Its fair share is half of all, and 0.1 of the calls request as much.
+        const auto few = static_cast<double>(simulation.taken_by_few());
+        CHECK(few > 0.25 * static_cast<double>(simulation.taken()));
     }
 }
 
--- a/src/libcrosslink/forward/runner_notices_play_test.cpp
+++ b/src/libcrosslink/forward/runner_notices_simulation_test.cpp
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-// Random orders of what the platform lists, what processes say of themselves,
-// and what befalls calls, against a plain record of who may be sent what.
+// Applies random sequences of platform listings, of notices that processes give
+// about themselves, and of call outcomes, and checks the choice of runners
+// against a plain record of which of them may be sent calls.
 
 #include <crosslink/forward/runner_table.h>
 
@@ -32,14 +33,14 @@
     bool listed = true;
     bool leaving = false;
     TimePoint backoff_until{};
-    /// Nothing but its words keeps calls from it.
+    /// Nothing but its own notices keeps calls from it.
     bool is_sound = true;
 };
 
-class NoticesPlay
+class NoticesSimulation
 {
 public:
-    explicit NoticesPlay(std::uint32_t seed) : m_random(seed)
+    explicit NoticesSimulation(std::uint32_t seed) : m_random(seed)
     {
         m_table.members().listed({"i", "", "a", 0}, TimePoint{});
         for (int i = 0; i < runners; ++i) {
@@ -54,7 +55,7 @@
             m_now += std::chrono::milliseconds(draw(300));
             act(id_of(draw(runners)));
             check_choice();
-            check_booked();
+            check_reserved();
         }
     }
 
@@ -134,7 +135,7 @@
             process.leaving = true;
             break;
         case 8:
-            // The process before says so late.
+            // A late notice of the previous process.
             m_table.set_leaving({id, process.start_ms - 1}, m_now);
             break;
         case 9: {
@@ -205,8 +206,8 @@
         if (draw(2) == 0)
             m_table.ended(pick.incarnation(), 10);
     }
-    /// A call that waits for its place, while more becomes known.
-    void check_booked()
+    /// A call that waits for its place while the state changes.
+    void check_reserved()
     {
         const NextAvailability chance = m_table.next_available(query());
         if (!chance.at)
@@ -235,7 +236,7 @@
 {
     for (std::uint32_t seed = 1; seed <= seeds; ++seed) {
         INFO("seed " << seed);
-        NoticesPlay(seed).run();
+        NoticesSimulation(seed).run();
     }
 }
 
--- a/src/libcrosslink/forward/runner_table.cpp
+++ b/src/libcrosslink/forward/runner_table.cpp
@@ -14,13 +14,14 @@
 namespace
 {
 
-/// A zone is passed over for so long after a runner there said nothing.
-constexpr Micros silent_hold = std::chrono::milliseconds(2500);
-/// First time for which a failing runner is left alone, and the longest.
-constexpr Micros first_hold = std::chrono::milliseconds(500);
-constexpr std::uint32_t most_doublings = 4;
-/// Two instances may hear of a third one's end so far apart (0.4 s from the
-/// platform, 0.15 s for each of two exchanges), with the second over which
+/// Time for which a zone is avoided after a runner there did not respond.
+constexpr Micros silent_zone_time = std::chrono::milliseconds(2500);
+/// Time for which a runner gets no calls after a first failure, and the number
+/// of times that it may double.
+constexpr Micros first_failure_hold = std::chrono::milliseconds(500);
+constexpr std::uint32_t max_doublings = 4;
+/// How far apart two instances may learn of the end of a third one (0.4 s from
+/// the platform, 0.15 s for each of two exchanges), plus the second over which
 /// calls to a cold runner are counted.
 constexpr Micros settling_time = std::chrono::milliseconds(2000);
 
@@ -57,7 +58,7 @@
             lapsed(id, gone_at);
 }
 
-/// Takes over all entries of the list, and returns their ids.
+/// Applies all entries of the list, and returns their ids.
 std::set<std::string_view>
 RunnerTable::put_all(std::span<const ListedRunner> listed, TimePoint now)
 {
@@ -69,8 +70,8 @@
     return ids;
 }
 
-/// Drops the entries that meet `condition`, and keeps what their processes said
-/// of themselves: they may be listed again.
+/// Drops the entries that meet `condition`, but keeps the notices of their
+/// processes, since they may be listed again.
 void
 RunnerTable::drop_if(const std::function<bool(const RunnerEntry&)>& condition)
 {
@@ -108,7 +109,7 @@
         return false;
     const bool starts_anew = !is_new && listed.start_ms > entry.listed.start_ms;
     if (starts_anew) {
-        // What was sent a moment ago counts at the new one too.
+        // Recent sends also count for the new process.
         const SendWindow sends = entry.sends;
         entry = {};
         entry.sends = sends;
@@ -176,23 +177,23 @@
 {
     release(runner);
     if (RunnerEntry* entry = find(runner)) {
-        note_send(*entry, now);
+        record_send(*entry, now);
         entry->own.add(tokens, resident);
         entry->unreported_load.add(tokens, resident);
     }
 }
 
-/// Counts a call by what its runner bears.
+/// Records a send. How it counts depends on the limit of its runner.
 void
-RunnerTable::note_send(RunnerEntry& entry, TimePoint now) const
+RunnerTable::record_send(RunnerEntry& entry, TimePoint now) const
 {
     if (!entry.notices.limit.in_force()) {
         entry.sends.sent(now);
         return;
     }
     const RateShare share =
-        named_limit_share(entry.notices.limit.per_second(),
-                          m_members.count(entry.listed.zone, now));
+        advertised_limit_share(entry.notices.limit.per_second(),
+                               m_members.count(entry.listed.zone, now));
     if (share.calls == 1)
         entry.sends.sent_in_turn(share.window, now);
     else
@@ -220,7 +221,7 @@
 RunnerTable::ran(std::string_view id, std::uint64_t resident, Micros span)
 {
     if (const RunnerEntry* entry = find(id))
-        m_holding[entry->listed.service].add(resident, span);
+        m_holding_times[entry->listed.service].add(resident, span);
 }
 
 void
@@ -228,7 +229,7 @@
                      Micros hold)
 {
     if (RunnerEntry* entry = find(runner))
-        entry->held_until = std::max(entry->held_until, now + hold);
+        entry->paused_until = std::max(entry->paused_until, now + hold);
 }
 
 void
@@ -245,9 +246,9 @@
     if (!entry)
         return;
     const Micros hold =
-        first_hold * (1 << std::min(entry->failures, most_doublings));
+        first_failure_hold * (1 << std::min(entry->failures, max_doublings));
     ++entry->failures;
-    entry->held_until = std::max(entry->held_until, now + hold);
+    entry->paused_until = std::max(entry->paused_until, now + hold);
 }
 
 void
@@ -284,7 +285,7 @@
 RunnerTable::silent(std::string_view id, TimePoint now)
 {
     if (const RunnerEntry* entry = find(id))
-        m_silent_zones[entry->listed.zone] = now + silent_hold;
+        m_silent_zones[entry->listed.zone] = now + silent_zone_time;
 }
 
 bool
@@ -316,30 +317,31 @@
     RunnerNotices* notices = notices_of(runner);
     if (!notices)
         return false;
-    notices->heard_at = now;
-    return notices->limit.answered(per_second, known, now);
+    notices->reported_at = now;
+    return notices->limit.apply_answer(per_second, known, now);
 }
 
 bool
-RunnerTable::limit_told(const LimitUpdate& news, TimePoint now)
+RunnerTable::limit_told(const LimitUpdate& update, TimePoint now)
 {
-    RunnerNotices* notices = notices_of({news.runner, news.start_ms});
+    RunnerNotices* notices = notices_of({update.runner, update.start_ms});
     if (!notices)
         return false;
-    notices->heard_at = now;
-    return notices->limit.told(news, now);
+    notices->reported_at = now;
+    return notices->limit.merge(update, now);
 }
 
 std::vector<LimitUpdate>
 RunnerTable::limit_updates(TimePoint now) const
 {
-    std::vector<LimitUpdate> news;
+    std::vector<LimitUpdate> updates;
     for (const auto& [id, entry] : m_entries)
-        if (entry.notices.limit.is_news(now))
-            news.push_back(
-                {id, entry.listed.start_ms, entry.notices.limit.per_second(),
-                 entry.notices.limit.change(), entry.notices.limit.heard()});
-    return news;
+        if (entry.notices.limit.needs_reporting(now))
+            updates.push_back({id, entry.listed.start_ms,
+                               entry.notices.limit.per_second(),
+                               entry.notices.limit.change(),
+                               entry.notices.limit.confirmations()});
+    return updates;
 }
 
 std::size_t
@@ -357,18 +359,18 @@
     RunnerNotices* notices = notices_of(runner);
     if (!notices)
         return false;
-    notices->heard_at = now;
+    notices->reported_at = now;
     return !std::exchange(notices->leaving, true);
 }
 
 std::vector<LeavingUpdate>
 RunnerTable::leaving_updates() const
 {
-    std::vector<LeavingUpdate> news;
+    std::vector<LeavingUpdate> updates;
     for (const auto& [id, entry] : m_entries)
         if (entry.notices.leaving && !entry.listed.leaving)
-            news.push_back({id, entry.listed.start_ms});
-    return news;
+            updates.push_back({id, entry.listed.start_ms});
+    return updates;
 }
 
 bool
@@ -378,7 +380,7 @@
     RunnerNotices* notices = notices_of(runner);
     if (!notices)
         return false;
-    notices->heard_at = now;
+    notices->reported_at = now;
     if (until <= notices->backoff_until)
         return false;
     notices->backoff_until = until;
@@ -415,8 +417,8 @@
     return found == m_entries.end() ? nullptr : &found->second;
 }
 
-/// Returns the entry of this one process; null where the runner is gone, or
-/// started anew.
+/// Returns the entry of exactly this process; null if the runner is gone or was
+/// restarted.
 RunnerEntry*
 RunnerTable::find(const RunnerIncarnation& runner)
 {
@@ -424,8 +426,8 @@
     return entry && entry->listed.start_ms == runner.start_ms ? entry : nullptr;
 }
 
-/// Returns what this one process said of itself, listed or not; null where a
-/// later one under its id is known.
+/// Returns the notices of exactly this process, whether it is listed or not;
+/// null if a later process under its id is known.
 RunnerNotices*
 RunnerTable::notices_of(const RunnerIncarnation& runner)
 {
--- a/src/libcrosslink/forward/start_wait.cpp
+++ b/src/libcrosslink/forward/start_wait.cpp
@@ -11,14 +11,14 @@
 namespace
 {
 
-/// An instance that has learned nothing by then is cut off: waiting longer
-/// would hold up callers for nothing.
+/// An instance that has learned nothing by then is cut off, and waiting longer
+/// would delay callers for nothing.
 constexpr Micros start_time = std::chrono::milliseconds(1500);
 /// The configuration is read in 0.1 to 0.3 s on machines of 0.12 cores.
 constexpr Micros configuration_wait = std::chrono::milliseconds(400);
 
 Micros
-start_left(Micros since_start)
+remaining_start_time(Micros since_start)
 {
     return std::max(start_time - since_start, Micros{0});
 }
@@ -28,7 +28,7 @@
 Micros
 wait_for_configuration(Micros since_start)
 {
-    return std::min(start_left(since_start), configuration_wait);
+    return std::min(remaining_start_time(since_start), configuration_wait);
 }
 
 } // namespace crosslink
