--- a/src/include/crosslink/admit/admission.h
+++ b/src/include/crosslink/admit/admission.h
@@ -18,45 +18,49 @@
 namespace crosslink
 {
 
-/// How much one entry instance takes on.
+/// The limits of one entry instance.
 struct AdmissionRules {
-    std::uint32_t most_running = 128; ///< Requests at once.
-    std::uint32_t most_waiting = 256; ///< Requests that wait for a place.
+    std::uint32_t most_running = 128; ///< Maximum of concurrent requests.
+    std::uint32_t most_waiting = 256; ///< Maximum of queued requests.
+    /// Maximum time that a request is queued.
     Micros longest_wait = std::chrono::seconds(10);
 };
 
-/// What became of a request that asked to be admitted.
+/// The result of a request for admission.
 struct AdmissionTicket {
     std::uint64_t number = 0;
-    bool admitted = false; ///< False: it waits for its turn.
+    bool admitted = false; ///< False: the request is queued.
 };
 
-/// How many requests an account has running and waiting.
+/// Number of requests of an account that are running or waiting.
 struct AccountUse {
     std::string account;
     std::uint32_t open = 0;
 };
 
-/// Admits requests: limits per client account, a bounded number at once, and
-/// weighted fair queueing (virtual finish times) for the places, so that an
-/// account that floods waits behind its own requests.
+/// Admits requests: limits per client account, a maximum number of concurrent
+/// requests, and weighted fair queueing (virtual finish times) for those that
+/// wait, so that an account that sends a flood of requests waits behind its own
+/// requests.
 class Admission
 {
 public:
     explicit Admission(AdmissionRules rules);
 
-    /// Asks for a place for a request that costs `tokens`. `share` is the part
-    /// of the account's limits that this instance may give out, above 0 to 1.
-    /// Throws Error with RateLimited, ConcurrencyLimited or QueueFull.
+    /// Requests admission of a request that costs `tokens`. `share` is the
+    /// fraction of the account's limits that this instance may grant, greater
+    /// than 0 and at most 1. Throws Error with RateLimited, ConcurrencyLimited
+    /// or QueueFull.
     AdmissionTicket ask(const ClientAccount& account, std::uint64_t tokens,
                         double share, TimePoint now);
-    /// Gives up waiting. Returns false where the ticket was admitted already.
+    /// Removes a waiting request. Returns false where the ticket was admitted
+    /// already.
     bool withdraw(std::uint64_t ticket);
-    /// Ends a request that was admitted. Returns the tickets that are
-    /// admitted in its place.
+    /// Ends an admitted request. Returns the tickets that are admitted in its
+    /// place.
     std::vector<std::uint64_t> release(std::uint64_t ticket);
 
-    /// Returns the accounts that have requests open.
+    /// Returns the accounts that have running or waiting requests.
     std::vector<AccountUse> in_use() const;
     std::size_t running() const { return m_running.size(); }
     std::size_t waiting() const { return m_waiting; }
--- a/src/include/crosslink/admit/retry_budget.h
+++ b/src/include/crosslink/admit/retry_budget.h
@@ -8,14 +8,15 @@
 namespace crosslink
 {
 
-/// Bounds retries to a share of the first tries, so that retries can't make
-/// an overload worse. Each first try earns a part of a retry.
+/// Limits retries to a fraction of the first attempts, so that retries can't
+/// make an overload worse. Each first attempt adds a fraction of a retry to the
+/// budget.
 class RetryBudget
 {
 public:
-    /// Takes note of a first try.
+    /// Records a first attempt.
     void first_try() { m_units = std::min(m_units + earned, most); }
-    /// Returns whether a retry may be made, and takes it from the budget.
+    /// Returns whether a retry is allowed, and takes it from the budget.
     bool take_retry()
     {
         if (m_units < 1)
@@ -25,7 +26,7 @@
     }
 
 private:
-    static constexpr double earned = 0.2; ///< Retries per first try.
+    static constexpr double earned = 0.2; ///< Retries per first attempt.
     static constexpr double most = 20;    ///< Retries that can be saved up.
 
     double m_units = most / 2;
--- a/src/include/crosslink/admit/token_bucket.h
+++ b/src/include/crosslink/admit/token_bucket.h
@@ -10,13 +10,13 @@
 namespace crosslink
 {
 
-/// A token bucket: `rate` units a second flow in, up to `burst`.
+/// A token bucket that is refilled with `rate` units per second, up to `burst`.
 class TokenBucket
 {
 public:
-    /// Takes `amount` units at `now`. Returns whether they were there; a
-    /// larger amount than the burst is let through by a full bucket, which
-    /// then goes into debt.
+    /// Takes `amount` units at `now`. Returns whether they were available. An
+    /// amount larger than the burst is granted by a full bucket, whose level
+    /// then becomes negative.
     bool take(double amount, double rate, double burst, TimePoint now)
     {
         refill(rate, burst, now);
@@ -26,14 +26,14 @@
         return true;
     }
 
-    /// Returns how long it takes until `amount` units are there.
+    /// Returns the time until `amount` units are available.
     Micros wait_for(double amount, double rate, double burst) const
     {
         const double missing = std::min(amount, burst) - m_units;
         return from_seconds(std::max(missing, 0.0) / rate);
     }
 
-    /// Gives `amount` units back, or takes them where it is negative.
+    /// Adds `amount` units, or takes them where it is negative.
     void give_back(double amount) { m_units += amount; }
 
 private:
--- a/src/include/crosslink/claim/answer_cache.h
+++ b/src/include/crosslink/claim/answer_cache.h
@@ -15,19 +15,21 @@
 {
 
 /// The claimed calls that this instance runs or has run, with their answers,
-/// for retries that land anywhere. Bounded: the oldest answers go first, and a
-/// retry then learns that the outcome is unknown.
+/// for retries that arrive at any instance. Limited in size: the oldest answers
+/// are evicted first, and a retry of an evicted call learns that its outcome is
+/// unknown.
 class AnswerCache
 {
 public:
-    /// `most_bytes` bounds the bodies that are kept.
+    /// `most_bytes` limits the total size of the kept bodies.
     explicit AnswerCache(std::uint64_t most_bytes);
 
-    /// Takes note that the claimed call is being run here.
+    /// Records that the claimed call is running here.
     void begin(const Digest& key, const Digest& fingerprint);
-    /// Keeps the whole answer.
+    /// Stores the complete answer of the call.
     void finish(const Digest& key, PlainAnswer answer);
-    /// Forgets a call whose claim was given back or whose outcome is unknown.
+    /// Removes a call whose claim was released or whose outcome is unknown. A
+    /// finished call is kept.
     void forget(const Digest& key);
     /// Returns what is known of the call.
     HeldAnswer find(const Digest& key) const;
@@ -38,7 +40,7 @@
     const std::uint64_t m_most_bytes;
     std::uint64_t m_bytes = 0;
     std::unordered_map<Digest, HeldAnswer> m_answers;
-    std::deque<Digest> m_order; ///< Finished ones, oldest first.
+    std::deque<Digest> m_order; ///< Finished calls, oldest first.
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/claim/claim.h
+++ b/src/include/crosslink/claim/claim.h
@@ -12,12 +12,12 @@
 namespace crosslink
 {
 
-/// The right to dispatch one unrepeatable call, once.
+/// The right to dispatch a call that must not be repeated, once.
 struct Claim {
-    Digest key;              ///< Of account, service and idempotency key.
-    std::string id;          ///< Unique for each request that asks.
-    std::string holder;      ///< Peer address of the instance that asks.
-    UnixMillis key_time = 0; ///< When the caller made the key.
+    Digest key;         ///< Digest of account, service and idempotency key.
+    std::string id;     ///< Unique for each request for a claim.
+    std::string holder; ///< Peer address of the requesting instance.
+    UnixMillis key_time = 0; ///< When the caller created the key.
 };
 
 /// The answer to a request for a claim.
--- a/src/include/crosslink/claim/claim_committer.h
+++ b/src/include/crosslink/claim/claim_committer.h
@@ -17,22 +17,23 @@
 namespace crosslink
 {
 
-/// Commits claims of all slices to the platform, many in one write. Safety
-/// rests on the compare-and-swap of a slice's head alone: whoever commits, and
-/// whatever it believed before, a key is taken at most once. Used by one
-/// thread at a time.
+/// Commits claims of all slices to the platform, many in one write. Correctness
+/// depends on the compare-and-swap of a slice's head alone: whichever instance
+/// commits, and however stale its view is, a key is granted at most once. Used
+/// by one thread at a time.
 class ClaimCommitter
 {
 public:
     /// `platform` must outlive the committer. Keys older than `age_limit`
-    /// milliseconds are cleared away and refused.
+    /// milliseconds are removed and refused.
     ClaimCommitter(Platform& platform, UnixMillis age_limit);
 
-    /// Returns the verdict on each claim of `batch`, all of `slice`. Ids in
-    /// `releases` are given back in the same write. Throws Error with
-    /// ClaimUnavailable where the platform can't be reached or answers
-    /// unclearly too often; a claim may then be committed all the same, and
-    /// must not be dispatched.
+    /// Returns the verdict on each claim of `batch`, which must all belong to
+    /// `slice`. Claims whose ids are in `releases` are released in the same
+    /// write. Throws Error with ClaimUnavailable where the platform can't be
+    /// reached, or where too many attempts are lost to other writers or have an
+    /// unknown outcome; a claim may be committed nevertheless, and must not be
+    /// dispatched.
     std::vector<ClaimVerdict> commit(std::uint32_t slice,
                                      std::span<const Claim> batch,
                                      std::span<const std::string> releases,
--- a/src/include/crosslink/claim/key_time.h
+++ b/src/include/crosslink/claim/key_time.h
@@ -11,8 +11,8 @@
 namespace crosslink
 {
 
-/// Returns the time that an idempotency key carries: the first 48 bits of a
-/// UUID of version 7 (RFC 9562). Nothing where the key is of another kind.
+/// Returns the creation time in an idempotency key: the first 48 bits of a
+/// version 7 UUID (RFC 9562). Nothing where the key is of another kind.
 std::optional<UnixMillis> key_time_of(std::string_view key);
 
 } // namespace crosslink
--- a/src/include/crosslink/membership/change_log.h
+++ b/src/include/crosslink/membership/change_log.h
@@ -14,21 +14,21 @@
 namespace crosslink
 {
 
-/// What an instance knows of the platform's store, and the latest changes, for
-/// instances that learn them from it. It never goes back: a page that does not
-/// go on where the log stands is not taken.
+/// The platform's store as this instance knows it, with the latest changes,
+/// from which other instances learn them. The state never goes back: a page
+/// that does not continue at its revision is rejected.
 class ChangeLog
 {
 public:
-    /// Takes in a page. Returns false, and changes nothing, where it does not
-    /// go on from revision(), or is older than what is known.
+    /// Applies a page. Returns false, and changes nothing, where the page does
+    /// not continue at revision() or is older than the known state.
     bool apply(const ChangePage& page);
-    /// Returns the revision up to which all is known; nothing before the first
-    /// whole page.
+    /// Returns the revision up to which the state is complete; nothing before
+    /// the first snapshot.
     std::optional<std::uint64_t> revision() const { return m_place; }
-    /// Returns what follows `place`: the changes where they are remembered,
-    /// else all there is. Without entries where nothing is known, or where
-    /// `place` lies ahead of this log.
+    /// Returns what follows `revision`: the changes where they are still
+    /// remembered, otherwise a snapshot. The page has no entries where nothing
+    /// is known, or where `revision` is ahead of this log.
     ChangePage since(std::optional<std::uint64_t> place) const;
 
 private:
@@ -36,8 +36,8 @@
     ChangePage whole() const;
 
     std::optional<std::uint64_t> m_place;
-    std::uint64_t m_first = 0;       ///< Changes after it are remembered.
-    std::deque<KeyChange> m_changes; ///< In the order of their revisions.
+    std::uint64_t m_first = 0; ///< Changes after this revision are remembered.
+    std::deque<KeyChange> m_changes; ///< Ordered by revision.
     std::map<std::string, KeyChange> m_known;
 };
 
--- a/src/include/crosslink/membership/change_page.h
+++ b/src/include/crosslink/membership/change_page.h
@@ -12,19 +12,20 @@
 {
 
 /// One key of the platform's store as it was written, in the platform's own
-/// form: instances hand it on unread.
+/// format: instances pass it on without parsing it.
 struct KeyChange {
     std::string key;
-    std::optional<std::string> value; ///< Nothing where the key is gone.
-    std::uint64_t revision = 0;       ///< Of the store, at this change.
+    std::optional<std::string> value; ///< Nothing where the key was removed.
+    std::uint64_t revision = 0;       ///< Revision of the store at this change.
 };
 
 /// Changes of the platform's store in the order in which they were made.
-/// Revisions are the store's, so that pages from any source fit together.
+/// Revisions are those of the store, so pages from different sources can be
+/// combined.
 struct ChangePage {
-    std::uint64_t since = 0;    ///< The revision that the page goes on from.
-    std::uint64_t revision = 0; ///< The revision up to which it tells all.
-    bool is_snapshot = false;   ///< All there is; `since` counts for nothing.
+    std::uint64_t since = 0;    ///< Revision that the page continues from.
+    std::uint64_t revision = 0; ///< Revision up to which the page is complete.
+    bool is_snapshot = false;   ///< Holds the whole store; ignore `since`.
     std::vector<KeyChange> entries;
 };
 
--- a/src/include/crosslink/membership/duty_lease.h
+++ b/src/include/crosslink/membership/duty_lease.h
@@ -11,46 +11,48 @@
 namespace crosslink
 {
 
-/// The lease of a duty that one instance of the fleet has at a time, as its
-/// holder sees it by its own steady clock. The holder stops well before the
-/// lease can lapse at the platform, and begins only after the time in which
-/// an earlier holder's last act may still be on its way.
+/// The lease of a duty, a role that one instance of the fleet holds at a time,
+/// as its holder tracks it on its own steady clock. The holder stops well
+/// before the lease can expire at the platform. A new holder starts only when
+/// the last action of an earlier one can no longer be in flight.
 class DutyLease
 {
 public:
-    /// `settle` is the time between taking the lease and the first act.
+    /// `settle` is the delay between the grant of the lease and the first
+    /// action.
     explicit DutyLease(Micros settle) : m_settle(settle) {}
 
-    /// Takes note of a lease: asked for at `asked`, granted for `span` from
-    /// then on under `token`. Called for extensions too. With `replaces_own`,
-    /// the earlier holder was a process of this instance that stopped a moment
-    /// ago, not at the end of the part that it used of its lease.
+    /// Records a lease that was requested at `asked` and granted for `span`
+    /// from then on under `token`. Also called for extensions. Set
+    /// `replaces_own` where the earlier holder was a process of this instance
+    /// that stopped a moment ago, rather than at the end of the part of its
+    /// lease that it used.
     void granted(std::uint64_t token, TimePoint asked, Micros span,
                  bool replaces_own = false);
-    /// Takes note that the lease is over, or that another holds it.
+    /// Records that the lease has ended or that another instance holds it.
     void lost() { m_token.reset(); }
 
-    /// Part of the lease that its holder uses. Clocks run alike within a
-    /// percent; the rest is for acts that are already on their way.
+    /// Fraction of the lease that its holder uses. Clock rates agree within 1%;
+    /// the rest of the unused part covers actions that are already in flight.
     static constexpr double used_part = 0.65;
-    /// Returns the part of a lease of `span` that its holder does not use.
+    /// Returns the part of a lease of `span` in which its holder does not act.
     static Micros safety_margin(Micros span);
-    /// Returns the time between taking a lease of `span` and the first act, so
-    /// that the acts of two holders are `spacing` apart. The earlier one did
-    /// nothing in the unused part of its lease; one that gives its lease back
-    /// waits for as long first.
+    /// Returns the delay between the grant of a lease of `span` and the first
+    /// action that keeps the actions of two holders at least `spacing` apart.
+    /// The earlier holder did not act in the unused part of its lease; one that
+    /// releases its lease first waits for the same time without acting.
     static Micros takeover_delay(Micros spacing, Micros span);
 
-    /// True where the duty is this instance's at `now`.
+    /// Returns whether this instance holds the duty at `now`.
     bool held(TimePoint now) const;
-    /// True where it is, or was until less than `grace` ago.
+    /// Returns whether it holds the duty, or held it less than `grace` ago.
     bool held_within(Micros grace, TimePoint now) const;
-    /// True where it is, and acts may be done.
+    /// Returns whether it holds the duty and may act.
     bool may_act(TimePoint now) const;
-    /// Returns how long acts may still be done; zero where they may not.
+    /// Returns for how long it may still act; zero where it may not.
     Micros time_left(TimePoint now) const;
-    /// Returns the fencing token; grows with each new holder. 0 before the
-    /// first lease.
+    /// Returns the fencing token, which grows with each new holder; 0 while
+    /// there is no lease.
     std::uint64_t token() const { return m_token.value_or(0); }
 
 private:
--- a/src/include/crosslink/membership/fleet_tree.h
+++ b/src/include/crosslink/membership/fleet_tree.h
@@ -13,35 +13,36 @@
 namespace crosslink
 {
 
-/// Instances with a link below this neither keep the fleet's duty nor answer
-/// many others, as long as there are better ones. Behind 10 Mbit/s a holder of
-/// the duty was out of reach for most of 82 instances, and nine in ten prompts
-/// were read whole for 12 s.
+/// Instances with a weaker link neither hold the duty nor answer many others as
+/// long as there are stronger ones. With the holder of the duty behind a link
+/// of 10 Mbit/s, most of 82 instances could not reach it, and nine in ten
+/// prompts were computed in full for 12 s.
 constexpr double strong_link_mbps = 50;
-/// Instances that ask one other for news. Each of them asks about seven times
-/// a second, and an answer takes 0.6 ms of a core (worked out): 16 of them take
-/// 7% of a core.
+/// Number of instances that poll the same instance for changes. Each polls
+/// about seven times a second, and an answer takes 0.6 ms of CPU time
+/// (calculated): 16 of them take 7% of a core.
 constexpr std::size_t most_children = 16;
 
-/// Who asks whom for news and load, so that no instance answers more than
-/// about most_children others: a small fleet asks the holder of the duty; in a
-/// larger one some instances of each zone ask the holder, and the others of
-/// the zone ask these. Each instance works it out for itself from the list of
-/// instances. Where their lists differ, some ask one that does not expect it,
-/// which costs nothing but the age of what they learn.
+/// Determines which instances each instance polls for changes and load, so that
+/// none answers more than about most_children others. In a small fleet all poll
+/// the holder of the duty; in a larger one some instances of each zone poll the
+/// holder, and the others of the zone poll these. Each instance computes the
+/// tree itself from its list of instances. Where the lists differ, some poll an
+/// instance that does not expect it; this only makes the data that they get
+/// older.
 class FleetTree
 {
 public:
-    /// `instances` are all that are listed. `holder` is the address of the
-    /// duty's holder; empty for none.
+    /// `instances` are all listed instances. `holder` is the address of the
+    /// instance that holds the duty; empty if none does.
     FleetTree(std::span<const InstanceInfo> instances, std::string holder);
 
-    /// Returns the addresses that the instance `name` of `zone` may ask, best
-    /// first, without `own`, its own address.
+    /// Returns the addresses that the instance `name` of `zone` may poll, in
+    /// order of preference, without `own`, its own address.
     std::vector<std::string> parents(std::string_view name,
                                      std::string_view zone,
                                      std::string_view own) const;
-    /// Returns whether `name` of `zone` is asked by others of its zone.
+    /// Returns whether other instances of `zone` poll `name`.
     bool is_parent(std::string_view name, std::string_view zone) const;
 
 private:
--- a/src/include/crosslink/membership/gossip.h
+++ b/src/include/crosslink/membership/gossip.h
@@ -12,17 +12,17 @@
 namespace crosslink
 {
 
-/// A mark that an upstream leaves or is gone, told between instances.
+/// Marks an upstream as leaving or gone; exchanged between instances.
 struct LeavingMark {
     std::string upstream; ///< Address of the upstream.
     std::uint64_t expires_in_ms = 0;
 };
 
-/// What two members tell each other in one exchange.
+/// The message that each of two members sends in an exchange.
 struct GossipMessage {
     Member sender;
-    std::vector<Member> news;       ///< Members that changed; bounded.
-    std::vector<LeavingMark> marks; ///< Upstreams that leave; bounded.
+    std::vector<Member> news; ///< Members that changed; limited in number.
+    std::vector<LeavingMark> marks; ///< Leaving upstreams; limited in number.
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/membership/holder_history.h
+++ b/src/include/crosslink/membership/holder_history.h
@@ -14,43 +14,44 @@
 namespace crosslink
 {
 
-/// Who held a duty lately, as the platform told it. A holder goes on telling
-/// what it knows for a grace time after its lease ended, so that the next one
-/// has to know of it.
+/// The recent holders of a duty, as reported by the platform. A former holder
+/// keeps reporting what it knows for a grace period after its lease ended, so
+/// its successor must know about it.
 class HolderHistory
 {
 public:
-    /// A holder whose duty ended.
+    /// A former holder.
     struct Ended {
         std::string address;
-        TimePoint at{}; ///< When that was heard of.
+        TimePoint at{}; ///< When this instance learned of the end.
     };
 
-    /// Takes note that `address` is the holder from `now` on; empty for nobody.
+    /// Records that `address` holds the duty from `now` on; empty: nobody does.
     void set_holder(std::string_view address, TimePoint now);
-    /// Takes note that changes before `now` may have been missed.
+    /// Records that changes before `now` may be missing.
     void record_gap(TimePoint now);
 
-    /// Takes over what another instance saw, which missed nothing since `from`
-    /// and has heard of all that this one had heard of at its last
-    /// record_gap().
+    /// Merges the history of another instance, which is complete since `from`
+    /// and includes all changes that this instance knew of at its last
+    /// record_gap(). Ignored where that one is not complete for longer.
     void learn(TimePoint from, std::span<const Ended> ended);
-    /// Returns since when nothing is missed.
+    /// Returns the time since when the history is complete.
     TimePoint from() const { return m_from; }
-    /// Returns the holders whose duty ended, for learn().
+    /// Returns the former holders, for learn().
     std::vector<Ended> ended() const;
 
-    /// Returns the holder that was named last; empty for nobody.
+    /// Returns the current holder; empty if there is none.
     const std::string& holder() const { return m_holder; }
-    /// True where no holder is missed that ended within `grace` before `now`.
+    /// Returns whether all holders that ended within `grace` before `now` are
+    /// known.
     bool is_complete(Micros grace, TimePoint now) const;
-    /// Returns the earlier holders that ended within `grace` before `now`.
+    /// Returns the former holders that ended within `grace` before `now`.
     std::vector<std::string> recent(Micros grace, TimePoint now) const;
 
 private:
     std::string m_holder;
     std::map<std::string, TimePoint> m_ended; ///< By address.
-    TimePoint m_from{};                       ///< Nothing is missed since.
+    TimePoint m_from{}; ///< Start of the complete history.
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/membership/instance_info.h
+++ b/src/include/crosslink/membership/instance_info.h
@@ -8,12 +8,12 @@
 namespace crosslink
 {
 
-/// An entry instance as it lists itself for the others.
+/// The record that an entry instance publishes about itself for the others.
 struct InstanceInfo {
     std::string name;
     std::string address;  ///< "ip:port" for its peers.
     std::string zone;     ///< Availability zone.
-    double link_mbps = 0; ///< Of its network link.
+    double link_mbps = 0; ///< Speed of its network link in Mbit/s.
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/membership/lease_renewal.h
+++ b/src/include/crosslink/membership/lease_renewal.h
@@ -8,22 +8,23 @@
 namespace crosslink
 {
 
-/// When the holder of a lease extends it. One try that gets no answer, on a
-/// connection that fell silent, must not end the part of the lease that the
-/// holder uses: the duty passed on then, and for 4.6 s nobody gave orders,
-/// where 0.8 s are lost with a try that is refused.
+/// The timing of attempts to extend a lease. One attempt that gets no answer,
+/// on a connection that stopped responding, must not use up the part of the
+/// lease in which the holder acts: the duty would move to another instance, and
+/// nobody would give orders for 4.6 s, against 0.8 s after an attempt that is
+/// refused.
 class LeaseRenewal
 {
 public:
     /// For a lease of `span`.
     explicit LeaseRenewal(Micros span) : m_span(span) {}
 
-    /// Returns the time between the ends of two tries.
+    /// Returns the delay between two attempts.
     Micros pause() const { return m_span / 5; }
-    /// Returns how long a try waits for its answer; for a lease of 2 s twice
-    /// what a slow platform takes.
+    /// Returns how long an attempt waits for its answer; for a lease of 2 s
+    /// this is twice the answer time of a slow platform.
     Micros attempt_timeout() const { return m_span / 5; }
-    /// Returns the time between a try that failed and the next.
+    /// Returns the delay between a failed attempt and the next.
     Micros retry_delay() const { return m_span / 20; }
 
 private:
--- a/src/include/crosslink/membership/member.h
+++ b/src/include/crosslink/membership/member.h
@@ -9,12 +9,12 @@
 namespace crosslink
 {
 
-/// What is believed of an entry instance.
+/// The state of an entry instance, as others see it.
 enum class MemberState : std::uint8_t {
     Alive,
-    Suspect, ///< Did not answer; dead unless it refutes.
-    Leaving, ///< Told its planned stop.
-    Dead,    ///< Gone; kept for a while so that old news can't revive it.
+    Suspect, ///< Did not answer; dead unless it refutes the suspicion.
+    Leaving, ///< Announced its planned stop.
+    Dead,    ///< Gone; kept for a while so that stale updates can't revive it.
 };
 
 /// One entry instance as the others know it.
@@ -22,9 +22,9 @@
     std::string id;                ///< Unique for each start of an instance.
     std::string address;           ///< "ip:port" for peers.
     std::string zone;              ///< Availability zone.
-    std::uint64_t incarnation = 0; ///< Raised by the member itself only.
+    std::uint64_t incarnation = 0; ///< Incremented by the member itself only.
     MemberState state = MemberState::Alive;
-    std::uint64_t revision = 0; ///< Configuration in force there, as told.
+    std::uint64_t revision = 0; ///< Configuration in force there, as reported.
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/membership/member_table.h
+++ b/src/include/crosslink/membership/member_table.h
@@ -18,66 +18,71 @@
 namespace crosslink
 {
 
-/// How membership is kept, in the manner of SWIM: each instance pings one
-/// other a period, and news travels on pings, a few times each.
+/// Parameters of the membership protocol, which follows SWIM: in each period an
+/// instance pings one other, and updates are piggybacked on the pings, each a
+/// limited number of times.
 struct MembershipRules {
     Micros ping_period = std::chrono::seconds(1);
-    /// A suspect that does not refute in this time is taken for dead.
+    /// A suspect that does not refute within this time is declared dead.
     Micros suspect_time = std::chrono::seconds(6);
-    /// A dead member is remembered this long, so that old news can't bring it
-    /// back.
+    /// A dead member is remembered for this time, so that stale updates can't
+    /// revive it.
     Micros dead_memory = std::chrono::minutes(5);
-    /// Most members told of in one message.
+    /// Maximum number of members reported in one message.
     std::size_t news_per_message = 12;
-    /// A piece of news is told this often, times log2 of the fleet's size.
+    /// An update is sent this many times, times log2 of the fleet's size.
     std::uint32_t retransmit_factor = 3;
 };
 
-/// The entry instances that this one knows. A plain state machine: time,
-/// random bits and messages are handed in.
+/// The entry instances that this one knows. A deterministic state machine:
+/// time, random bits and messages are passed in.
 class MemberTable
 {
 public:
-    /// `self` must be Alive; its incarnation is raised as needed.
+    /// `self` must be Alive; its incarnation is incremented as needed.
     MemberTable(Member self, MembershipRules rules);
 
     const Member& self() const { return m_self; }
-    /// Sets what the others are told of this instance.
+    /// Sets the configuration revision that this instance reports to the
+    /// others; a lower one than before is ignored.
     void set_revision(std::uint64_t revision);
-    /// Tells the others that this instance leaves.
+    /// Marks this instance as leaving in its messages to the others.
     void leave();
 
-    /// Adds the address of a possible member, from settings or the platform's
-    /// list; it becomes a member once it answers.
+    /// Adds the address of a possible member, from the settings or the
+    /// platform's list; it becomes a member once it answers.
     void add_seed(std::string_view address);
-    /// Returns the address to ping now; `random` picks it. Nothing where
-    /// there is nobody.
+    /// Returns the address to ping now, selected by `random`; nothing where no
+    /// other instance is known.
     std::optional<std::string> ping_target(std::uint64_t random) const;
-    /// Returns the message for the next ping or answer to `address`. A member
-    /// that is suspected is always told so, which lets it refute.
+    /// Returns the message for the next ping or answer to `address`. It always
+    /// includes a suspicion of the member at that address, which lets it
+    /// refute.
     GossipMessage message_to(std::string_view address);
-    /// Takes in a message, as ping or as answer, at `now`.
+    /// Processes the message of a ping or of an answer, received at `now`.
     void receive(const GossipMessage& message, TimePoint now);
-    /// Takes note that a ping to `address` was not answered.
+    /// Records that a ping to `address` was not answered, which makes the
+    /// member a suspect.
     void ping_failed(std::string_view address, TimePoint now);
-    /// Turns suspects into dead ones, and forgets those dead for long.
+    /// Declares suspect and leaving members dead after the suspect time, and
+    /// forgets members that have been dead for long.
     void tick(TimePoint now);
 
-    /// Returns the members that may be spoken to, this one included: alive
-    /// and suspect ones.
+    /// Returns the members that may be contacted, the alive and suspect ones,
+    /// and this instance.
     std::vector<Member> live() const;
-    /// Returns all members, as `status` shows them, this one included.
+    /// Returns all members including this instance, as `status` shows them.
     std::vector<Member> all() const;
-    /// Returns the live ones of `zone`.
+    /// Returns those of live() that are in `zone`.
     std::vector<Member> live_in(std::string_view zone) const;
-    /// Returns the highest revision that any live member has told, and by
-    /// whom it was told.
+    /// Returns the other live member that reports the highest configuration
+    /// revision; nothing where there is none.
     std::optional<Member> newest_revision() const;
 
 private:
     struct Entry {
         Member member;
-        TimePoint since; ///< When it took this state here.
+        TimePoint since; ///< When the state was recorded here.
         std::uint32_t tellings = 0;
     };
 
@@ -92,8 +97,9 @@
     std::vector<std::string> m_seeds;
 };
 
-/// Returns the order in which news of one member overrides other news: the
-/// incarnation first, then the graver state.
+/// Returns whether `update` overrides what is `known` of the same member: the
+/// higher incarnation wins, then the state of higher precedence, then the
+/// higher revision.
 bool overrides(const Member& news, const Member& known);
 
 } // namespace crosslink
--- a/src/include/crosslink/membership/platform_availability.h
+++ b/src/include/crosslink/membership/platform_availability.h
@@ -11,23 +11,25 @@
 namespace crosslink
 {
 
-/// When the platform was away for the whole fleet, as one instance knows it.
-/// Meanwhile nobody can take or extend the duty of orders, so that runners
-/// can't be brought to new weights: a bound on that does not count this time.
-/// Where it was counted, 76 in 100 calls were served on a day with a rollout
-/// and the platform away for 6 s, 87 where it is not.
+/// The outages of the platform that affect the whole fleet, as far as one
+/// instance knows them. During an outage no instance can take or extend the
+/// duty of orders, so runners can't be brought to new weights: a time limit for
+/// that must not include outages. With a limit that includes them, 76 in 100
+/// calls were served during a rollout with an outage of 6 s; 87 with one that
+/// does not.
 class PlatformAvailability
 {
 public:
-    /// Orders are given again `settle` after the platform's return.
+    /// `settle` is the delay between the platform's return and the first
+    /// orders.
     explicit PlatformAvailability(Micros settle) : m_settle(settle) {}
 
-    /// Takes note that this instance gets no answer of the platform.
+    /// Records that this instance gets no answers from the platform.
     void lost(TimePoint now);
-    /// Takes note that it gets answers again.
+    /// Records that this instance gets answers again.
     void regained(TimePoint now);
-    /// Takes note that another instance gets answers: the platform is away for
-    /// this one only, and that counts for nothing.
+    /// Records that another instance gets answers: the platform is unreachable
+    /// for this instance only, which is no outage.
     void reached_by_another(TimePoint now);
 
     /// Returns whether this instance gets answers.
@@ -37,7 +39,7 @@
     Micros available_time(TimePoint from, TimePoint now) const;
 
 private:
-    /// A time in which no order could be given.
+    /// A period in which no order could be given.
     struct Span {
         TimePoint from{};
         TimePoint to{};
@@ -45,7 +47,7 @@
 
     const Micros m_settle;
     std::optional<TimePoint> m_lost_at;
-    std::deque<Span> m_away; ///< In the order in which they ended.
+    std::deque<Span> m_away; ///< Ordered by their ends.
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/membership/rendezvous.h
+++ b/src/include/crosslink/membership/rendezvous.h
@@ -13,7 +13,8 @@
 {
 
 /// Returns the weight of `candidate` for `key` in rendezvous hashing: the
-/// candidate of the highest weight is preferred. The same everywhere.
+/// candidate with the highest weight is preferred. All instances compute the
+/// same weight.
 std::uint64_t rendezvous_weight(std::string_view key,
                                 std::string_view candidate);
 
--- a/src/include/crosslink/membership/settled_members.h
+++ b/src/include/crosslink/membership/settled_members.h
@@ -16,30 +16,31 @@
 namespace crosslink
 {
 
-/// The instances of the fleet as they count where something is divided among
-/// them without a word from one to the other. One that came counts at once, but
-/// takes its own share only after the settling time; one that left counts for
-/// as long. So two instances that hear of a change up to that time apart do not
-/// take the same share both.
+/// The instances of the fleet among which something is divided without
+/// communication between them. An instance that joins counts at once, but takes
+/// its own share only after the settling time; one that left still counts for
+/// that time. So two instances that learn of a change up to that time apart
+/// never both take the same share.
 class SettledMembers
 {
 public:
-    /// `settle`: how far apart two instances may hear of the same change, and
-    /// the time over which a share is counted.
+    /// `settle` is the largest difference between the times at which two
+    /// instances learn of the same change, plus the period over which use of a
+    /// share is counted.
     explicit SettledMembers(Micros settle) : m_settle(settle) {}
 
-    /// Takes note that an instance is listed.
+    /// Records that an instance is listed.
     void listed(const InstanceInfo& instance, TimePoint now);
-    /// Takes note that an instance is no longer listed.
+    /// Records that an instance is no longer listed.
     void gone(std::string_view name, TimePoint now);
-    /// Takes note that only `names` are listed.
+    /// Records that no instances but `names` are listed.
     void keep_only(const std::set<std::string>& names, TimePoint now);
 
-    /// Returns how many instances count in `zone`; in all zones, where it has
-    /// none.
+    /// Returns the number of instances that count in `zone`; in all zones where
+    /// `zone` has none.
     std::size_t count(std::string_view zone, TimePoint now) const;
-    /// Returns whether `name` is one of the `most` instances of `zone` that
-    /// come first for `key`, and takes its share. Where the zone has no
+    /// Returns whether `name` is among the first `most` instances of `zone` in
+    /// the order for `key`, and may take its share. Where the zone has no
     /// instance, those of all zones count.
     bool has_share(std::string_view name, std::string_view key,
                    std::string_view zone, std::size_t most,
@@ -52,24 +53,25 @@
         std::optional<TimePoint> gone_at;
     };
 
-    /// While something holds that was worked out of the members: from one time
-    /// until the next of them settles.
+    /// The period in which a result computed from the members is valid: from
+    /// one time until the next of them settles.
     struct Validity {
         TimePoint from{};
         TimePoint until{};
 
         bool holds(TimePoint now) const { return from <= now && now < until; }
     };
-    /// How many instances count in a zone.
+    /// The number of instances that count in a zone.
     struct Count {
         std::size_t members = 0;
         Validity valid;
     };
-    /// Where an instance stands among those that share a key.
+    /// The rank of an instance among those that share a key.
     struct Standing {
         std::string name;
         std::string zone;
-        std::size_t before = 0; ///< That come first; all, where it has none.
+        /// Number of instances ahead of it; the maximum where it has no share.
+        std::size_t before = 0;
         Validity valid;
     };
 
@@ -86,8 +88,9 @@
 
     Micros m_settle;
     std::map<std::string, Member, std::less<>> m_members; ///< By name.
-    // Worked out before: that takes a look at all members, and a hash for each,
-    // and is asked for by each call and runner. Gone with each change.
+    // Cached results. To compute one takes a pass over all members with a hash
+    // for each, and each call asks for one for each runner. Cleared with each
+    // change.
     mutable std::map<std::string, Count, std::less<>> m_counts; ///< By zone.
     /// By key.
     mutable std::map<std::string, Standing, std::less<>> m_standings;
--- a/src/include/crosslink/route/cache_index.h
+++ b/src/include/crosslink/route/cache_index.h
@@ -14,26 +14,29 @@
 namespace crosslink
 {
 
-/// What is believed of one engine's prefix cache, from its late events. It is
-/// a belief only: the engine computes what it turns out not to have.
+/// The estimated content of one engine's prefix cache, from its events, which
+/// arrive late. It may be wrong: an engine computes the blocks that it turns
+/// out not to have.
 class CacheIndex
 {
 public:
-    /// Sets how many keys may be remembered; the oldest go first.
+    /// Sets the maximum number of keys; the oldest are removed first.
     void set_capacity(std::size_t most_keys);
-    /// Takes `events` in. Returns false where a sequence number was jumped:
-    /// then resync() is due. Doubled events are passed over.
+    /// Applies `events`. Returns false at a gap in the sequence numbers: the
+    /// caller must then call resync(). Repeated events are ignored.
     bool apply(std::span<const CacheEvent> events);
-    /// Replaces the belief by the engine's own listing, as of `sequence`.
+    /// Replaces the content by the engine's own listing, as of `sequence`.
     void resync(std::span<const Digest> keys, std::uint64_t sequence);
-    /// Adds blocks that a run just made; their event comes later.
+    /// Adds blocks that a run has just computed, before their events arrive.
     void expect(std::span<const Digest> keys);
-    /// Returns how many of `keys`, from the first on, are believed cached.
+    /// Returns how many of `keys`, counted from the first, are expected to be
+    /// cached.
     std::size_t prefix(std::span<const Digest> keys) const;
-    /// Returns the number of the newest event taken in.
+    /// Returns the sequence number of the newest applied event.
     std::uint64_t sequence() const { return m_sequence; }
     std::size_t size() const { return m_places.size(); }
-    /// Forgets everything, for an engine that started anew.
+    /// Removes all keys and restarts the sequence, for an engine that
+    /// restarted.
     void clear();
 
 private:
@@ -46,9 +49,9 @@
 
     std::size_t m_most_keys = most_keys_at_first;
     std::uint64_t m_sequence = 0;
-    /// Keys by their first eight bytes: two that are the same there only make
-    /// a belief wrong, and beliefs may be wrong.
-    std::list<std::uint64_t> m_order; ///< Oldest first, to stay bounded.
+    /// Keys are stored as their first eight bytes: a collision only makes the
+    /// estimate wrong, which is allowed.
+    std::list<std::uint64_t> m_order; ///< Oldest first, for eviction.
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator>
         m_places;
 };
--- a/src/include/crosslink/route/engine_table.h
+++ b/src/include/crosslink/route/engine_table.h
@@ -18,32 +18,32 @@
 namespace crosslink
 {
 
-/// One model engine as this instance knows it.
+/// A model engine as this instance knows it.
 struct EngineEntry {
     std::string address;
     std::string zone;
-    EngineLoad load;            ///< The latest report; it lags.
+    EngineLoad load;            ///< The latest report, which lags.
     bool reported = false;      ///< False before the first report.
-    TimePoint reported_at{};    ///< When that report came.
+    TimePoint reported_at{};    ///< When the latest report arrived.
     TimePoint leaving_until{};  ///< No new work before this time.
-    TimePoint ejected_until{};  ///< Kept out after failures.
-    std::uint32_t failures = 0; ///< In a row.
+    TimePoint ejected_until{};  ///< No new work after failures.
+    std::uint32_t failures = 0; ///< Consecutive failures.
     CacheIndex cache;
-    /// Prompt tokens that this instance has sent and that are not computed
-    /// yet as far as it knows, by run.
+    /// Prompt tokens, by run, that this instance has sent and that, as far as
+    /// it knows, are not computed yet.
     std::map<std::string, std::uint64_t, std::less<>> own_tokens;
-    std::uint32_t own_running = 0; ///< Own runs that are not over.
+    std::uint32_t own_running = 0; ///< Own runs that have not ended.
 
-    /// True where new work may go to it at `now`.
+    /// Returns whether it may be given new work at `now`.
     bool takes_work(TimePoint now) const;
     /// Returns the sum of own_tokens.
     std::uint64_t own_waiting_tokens() const;
-    /// True where it has the model, version and adapter in memory.
+    /// Returns whether it has the model, version and adapter in memory.
     bool has(std::string_view model, std::string_view version,
              std::string_view adapter) const;
 };
 
-/// An upstream of the platform's list that is an engine.
+/// An engine in the platform's list of upstreams.
 struct ListedEngine {
     std::string address;
     std::string zone;
@@ -56,31 +56,33 @@
 public:
     using Entries = std::map<std::string, EngineEntry, std::less<>>;
 
-    /// Takes over the platform's list: new engines join, absent ones go,
-    /// leaving ones are marked.
+    /// Applies the platform's list: adds new engines, removes absent ones and
+    /// marks leaving ones.
     void sync(std::span<const ListedEngine> listed, TimePoint now);
-    /// Takes in a load report.
+    /// Stores a load report.
     void update_load(std::string_view address, const EngineLoad& load,
                      TimePoint now);
-    /// Takes note that an engine does not report: it gets no work until it
-    /// does again.
+    /// Records that an engine does not report: it gets no work until it reports
+    /// again.
     void lost(std::string_view address);
-    /// Marks an engine as leaving until `until`; a mark expires, so that a
-    /// wrong one does no lasting harm.
+    /// Marks an engine as leaving until `until`. The mark expires, so a wrong
+    /// one does no lasting harm.
     void mark_leaving(std::string_view address, TimePoint until);
-    /// Returns the engines that are marked as leaving at `now`, with the time
-    /// that the marks last.
+    /// Returns the engines that are marked as leaving at `now`, with the
+    /// remaining time of each mark.
     std::vector<std::pair<std::string, Micros>> marks(TimePoint now) const;
-    /// Takes note of a run that is sent with so many tokens to compute.
+    /// Records a run that is sent, with `tokens` prompt tokens to compute.
+    /// Throws Error where the engine is marked as leaving.
     void sent(std::string_view address, std::string_view run_id,
               std::uint64_t tokens, TimePoint now);
-    /// Takes note of a run's first token: its prompt is computed.
+    /// Records the first token of a run: its prompt has been computed, and the
+    /// blocks of `keys` are expected in the engine's cache.
     void computed(std::string_view address, std::string_view run_id,
                   std::span<const Digest> keys);
-    /// Takes note of a run's end, whole or not.
+    /// Records the end of a run, complete or not.
     void ended(std::string_view address, std::string_view run_id);
-    /// Takes note of a failure: repeated ones keep the engine out for a time
-    /// that doubles, up to a bound, and ends with one trial.
+    /// Records a failure. The engine gets no work for a time that doubles with
+    /// each consecutive failure, up to a limit; then it is tried again.
     void failed(std::string_view address, TimePoint now);
     void succeeded(std::string_view address);
 
--- a/src/include/crosslink/route/link_table.h
+++ b/src/include/crosslink/route/link_table.h
@@ -14,32 +14,33 @@
 namespace crosslink
 {
 
-/// One link as it is known.
+/// The known state of one link.
 struct LinkState {
     std::string store;
-    double bytes_per_second = 0;       ///< As learned.
+    double bytes_per_second = 0;       ///< Estimated from fetches.
     std::uint64_t bytes_in_flight = 0; ///< Bytes being fetched.
-    std::uint64_t fetched = 0;         ///< Bytes fetched whole so far.
+    std::uint64_t fetched = 0;         ///< Bytes of all completed fetches.
 };
 
-/// What is known of the links over which kept KV is fetched, one per store:
-/// their speed as measured, and the bytes that are on their way.
+/// The links over which kept KV blocks are fetched, one per store: their
+/// measured speeds and the bytes in flight.
 class LinkTable
 {
 public:
-    /// Takes note of a fetch that begins, and of its end. `speed` is learned
-    /// only from fetches that ended whole.
+    /// Records the start of a fetch, and its end. `whole`: the fetch completed;
+    /// the speed is updated from completed fetches only.
     void begin(std::string_view store, std::uint64_t bytes);
     void end(std::string_view store, std::uint64_t bytes, Micros took,
              bool whole);
 
-    /// Returns the expected time to fetch `bytes` more from `store`.
+    /// Returns the expected time to fetch `bytes` from `store` in addition to
+    /// those in flight.
     Micros expected(std::string_view store, std::uint64_t bytes) const;
-    /// Returns the bytes fetched whole from `store` so far.
+    /// Returns the bytes of all completed fetches from `store`.
     std::uint64_t fetched(std::string_view store) const;
     /// Returns all links.
     std::vector<LinkState> states() const;
-    /// Returns the learned speed in bytes a second.
+    /// Returns the estimated speed in bytes per second.
     double speed(std::string_view store) const;
 
 private:
--- a/src/include/crosslink/route/router.h
+++ b/src/include/crosslink/route/router.h
@@ -19,30 +19,30 @@
 namespace crosslink
 {
 
-/// How an engine is chosen. The simple ones are the baselines of the
-/// measurements; the terms of Priced can be left out one by one.
+/// How an engine is chosen. The first three are simple baselines for
+/// comparison; the terms of the last can be disabled individually.
 enum class RoutePolicy {
-    RoundRobin,     ///< One after the other.
-    LeastLoad,      ///< The least reported and own load.
+    RoundRobin,     ///< Engines in turn.
+    LeastLoad,      ///< The least load, as reported and from own runs.
     PrefixAffinity, ///< Rendezvous hashing of the prompt's first block.
-    Priced,         ///< The least expected time to first token.
+    Priced,         ///< The shortest expected time to first token.
 };
 
-/// The terms of the price, for ablation. All on is what ships.
+/// The terms of the expected time, for ablation. All are enabled in production.
 struct RouteTerms {
-    bool queue = true;     ///< Count reported waiting work.
-    bool own_sent = true;  ///< Count what was sent since the report.
-    bool cache = true;     ///< Count what the engine's prefix cache saves.
+    bool queue = true;     ///< Count waiting work as reported.
+    bool own_sent = true;  ///< Count own work sent since the report.
+    bool cache = true;     ///< Count the savings of the engine's prefix cache.
     bool fetch = true;     ///< Consider fetching kept blocks.
     bool near_ties = true; ///< Choose among near ties by two random picks.
 };
 
-/// What the choice depends on, for one request.
+/// The input of the choice for one request.
 struct RouteRequest {
     std::string_view model;
     std::string_view version;
     std::string_view adapter;
-    std::span<const Digest> keys; ///< Whole blocks of the prompt.
+    std::span<const Digest> keys; ///< Keys of the prompt's complete blocks.
     std::uint64_t prompt_tokens = 0;
     std::string_view zone;             ///< Availability zone of the instance.
     std::string_view store;            ///< Store that has kept blocks.
@@ -51,10 +51,10 @@
     std::uint64_t random = 0;                     ///< Random bits.
 };
 
-/// Where a request runs and what it takes back.
+/// The engine for a request, and the kept blocks to fetch to it.
 struct RouteChoice {
     std::string engine;            ///< Address.
-    std::size_t cached_blocks = 0; ///< Believed in the engine's own cache.
+    std::size_t cached_blocks = 0; ///< Expected in the engine's own cache.
     std::size_t fetch_end = 0; ///< Blocks cached_blocks..fetch_end are fetched.
     Micros expected{0};        ///< Expected time to first token.
     std::uint64_t compute_tokens = 0; ///< Tokens that must be computed.
@@ -66,7 +66,8 @@
 public:
     Router(RoutePolicy policy, RouteTerms terms);
 
-    /// Returns the choice at `now`, or nothing where no engine takes it.
+    /// Returns the choice at `now`, or nothing where no engine accepts the
+    /// request.
     std::optional<RouteChoice> choose(const EngineTable& engines,
                                       const LinkTable& links,
                                       const RouteRequest& request,
--- a/src/libcrosslink/admit/admission.cpp
+++ b/src/libcrosslink/admit/admission.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// Seconds of an account's rate that may come at once.
+/// Burst that is allowed to an account, in seconds of its rate.
 constexpr double burst_seconds = 2;
 constexpr Micros come_back = std::chrono::milliseconds(500);
 
--- a/src/libcrosslink/admit/admission_test.cpp
+++ b/src/libcrosslink/admit/admission_test.cpp
@@ -97,7 +97,7 @@
     CHECK(before <= 3);
 }
 
-TEST_CASE("places are shared by weight")
+TEST_CASE("admissions are shared by weight")
 {
     Admission admission({1, 1000, std::chrono::seconds(1)});
     std::uint64_t running =
@@ -115,7 +115,7 @@
     CHECK(counts["light"] >= 20);
 }
 
-TEST_CASE("a withdrawn request takes no place")
+TEST_CASE("a withdrawn request is not admitted")
 {
     Admission admission({1, 10, std::chrono::seconds(1)});
     const auto first = admission.ask(account("a"), 1, 1, TimePoint{});
--- a/src/libcrosslink/claim/answer_cache.cpp
+++ b/src/libcrosslink/claim/answer_cache.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// What one kept answer costs beside its body.
+/// Bytes counted for each kept answer in addition to its body.
 constexpr std::uint64_t overhead = 256;
 
 std::uint64_t
--- a/src/libcrosslink/claim/claim_committer.cpp
+++ b/src/libcrosslink/claim/claim_committer.cpp
@@ -12,7 +12,8 @@
 namespace
 {
 
-/// Lost races and lost answers that one commit rides out before it gives up.
+/// Maximum number of attempts of one commit; each attempt that loses a race, or
+/// gets no answer, is followed by another.
 constexpr int max_rounds = 8;
 constexpr Micros come_back = std::chrono::seconds(1);
 
@@ -51,9 +52,10 @@
         const auto text =
             m_platform.read(claim_segment_key(slice, segment.name));
         if (!text)
-            // A later head no longer names it; the next round reads that one.
+            // A newer head no longer refers to the segment; the next attempt
+            // reads that head.
             throw Error(ErrorCode::PlatformOutcomeUnknown,
-                        "a segment of claims went away while reading");
+                        "a claim segment was removed while its slice was read");
         segments[segment.name] = claims_from_json(text->value);
     }
     view = ClaimSlice(record->version, std::move(head), std::move(segments));
@@ -126,7 +128,7 @@
     try {
         m_platform.remove_if(claim_segment_key(slice, name), 1);
     } catch (const Error&) {
-        // Left behind it costs room and nothing else.
+        // A segment that is left behind only takes up space.
         return;
     }
 }
@@ -135,8 +137,8 @@
 ClaimCommitter::commit(std::uint32_t slice, std::span<const Claim> batch,
                        std::span<const std::string> releases, UnixMillis now)
 {
-    // A claim that is given back may have been committed by another instance,
-    // so it is looked for in what is in place now.
+    // A claim to be released may have been committed by another instance, so
+    // the present state of the slice is read first.
     bool stale = !releases.empty();
     for (int round = 0; round < max_rounds; ++round) {
         try {
@@ -150,8 +152,8 @@
                 continue;
             return verdicts_on(*view, batch);
         } catch (const Error& failure) {
-            // Known or not, what is in place is read afresh before the next
-            // decision: the view is worth nothing now.
+            // Whether or not the outcome is known, the view may be out of date
+            // now: the slice is read again before the next decision.
             m_views.at(slice).reset();
             if (failure.code() == ErrorCode::PlatformOutcomeUnknown)
                 continue;
--- a/src/libcrosslink/claim/claim_committer_test.cpp
+++ b/src/libcrosslink/claim/claim_committer_test.cpp
@@ -21,7 +21,7 @@
 namespace
 {
 
-/// The platform with every call counted.
+/// A platform on which each expected call is declared.
 class MockPlatform : public Platform
 {
 public:
@@ -66,8 +66,9 @@
         .kind;
 }
 
-/// A fleet of committers on one platform. Each step pauses in the middle of a
-/// platform call while others run, and calls meet random fates.
+/// Committers that share one platform. Each step may be interrupted in the
+/// middle of a platform call while others run, and calls end with random
+/// results.
 class RandomFleet
 {
 public:
@@ -82,7 +83,8 @@
         m_platform.next_fate = [this] { return fate(); };
     }
 
-    /// One request of a caller for a random key, maybe a retry of an old one.
+    /// One request of a caller for a random key, possibly a retry of an earlier
+    /// one.
     void request()
     {
         const int key = *rc::gen::inRange(0, keys);
@@ -90,11 +92,11 @@
             *rc::gen::element<UnixMillis>(0, 0, 0, 9000, 15'000);
         Claim claim = make_claim("key" + std::to_string(key),
                                  "id" + std::to_string(++m_ids), m_now - age);
-        // A key has one time for ever.
+        // The time of a key never changes.
         claim.key_time =
             m_key_times.try_emplace(key, claim.key_time).first->second;
-        // The preferred instance may commit it and its answer be lost; then
-        // the same claim is decided again by another one.
+        // The preferred instance may commit the claim while its answer is lost;
+        // the same claim is then decided again by another instance.
         if (*rc::gen::inRange(0, 4) == 0)
             ask(*rc::gen::inRange(0, instances), claim);
         if (ask(*rc::gen::inRange(0, instances), claim))
@@ -141,7 +143,7 @@
                 std::make_unique<ClaimCommitter>(m_platform, age_limit);
     }
 
-    /// True where the verdict was Granted and arrived.
+    /// Returns whether the verdict was Granted and arrived.
     bool ask(int number, const Claim& claim)
     {
         if (!m_busy.insert(number).second)
@@ -292,7 +294,7 @@
     ClaimCommitter committer(platform, age_limit);
     const Claim old = make_claim("old", "a", start);
     REQUIRE(decide(committer, old) == ClaimVerdict::Kind::Granted);
-    // A later claim of the same slice moves the floor past the old one.
+    // A later claim of the same slice raises the floor above the old key.
     const UnixMillis later = start + 2 * age_limit;
     for (int i = 0;; ++i) {
         const Claim next = make_claim("n" + std::to_string(i), "n", later);
@@ -349,7 +351,7 @@
         RC_ASSERT(fleet.most_runs_of_one_key() <= 1);
     });
     CHECK(held);
-    // The property says nothing where nothing ever runs.
+    // The property is meaningless if no call ever runs.
     CHECK(runs > 100);
 }
 
--- a/src/libcrosslink/claim/claim_slice.cpp
+++ b/src/libcrosslink/claim/claim_slice.cpp
@@ -14,8 +14,8 @@
 namespace
 {
 
-/// The head is written at every commit, so it is kept small; claims above
-/// this number move out into a segment.
+/// The head is written at every commit, so it is kept small: once it holds more
+/// claims than this, they move to a segment.
 constexpr std::size_t max_recent = 512;
 constexpr std::string_view key_separator{"\0", 1};
 
@@ -56,7 +56,7 @@
     return list_from_json(value, claim_from_value);
 }
 
-/// A segment stands as [name, newest time of a key].
+/// A segment is written as [name, newest key time].
 Json::Value
 segment_to_value(const ClaimSegment& segment)
 {
@@ -72,7 +72,7 @@
     return {Digest::from_hex(value[0].asString()), value[1].asUInt64()};
 }
 
-/// Moves the floor of `head` and drops what lies wholly below it.
+/// Raises the floor of `head` and drops what lies entirely below it.
 void
 raise_floor(ClaimHead& head, UnixMillis floor)
 {
@@ -256,8 +256,8 @@
     }
     if (!proposal.changed)
         return proposal;
-    // A clock that jumps ahead must not make the floor refuse every key:
-    // the floor never passes the newest key by less than the age limit.
+    // A clock that jumps ahead must not make the floor refuse every key: the
+    // floor stays at least the age limit behind the newest key.
     const UnixMillis newest =
         std::max(m_newest_key_time, newest_of(head.recent));
     const UnixMillis reference = std::min(now, newest);
--- a/src/libcrosslink/membership/change_log.cpp
+++ b/src/libcrosslink/membership/change_log.cpp
@@ -12,9 +12,10 @@
 namespace
 {
 
-/// Changes that are remembered. An instance asks several times a second; a
-/// rollout over a thousand runners makes as many in some seconds. One that
-/// missed more gets everything anew, which costs its link some 100 KB.
+/// Number of changes that are remembered. An instance polls several times a
+/// second; a rollout over a thousand runners makes that many changes within
+/// seconds. An instance that missed more gets a snapshot, which costs its link
+/// about 100 KB.
 constexpr std::size_t most_changes = 4000;
 
 } // namespace
--- a/src/libcrosslink/membership/change_log_test.cpp
+++ b/src/libcrosslink/membership/change_log_test.cpp
@@ -36,7 +36,7 @@
     return {since, place, false, std::move(entries)};
 }
 
-/// All keys of a page or of several, with their last values.
+/// All keys of one or several pages, with their latest values.
 using Values = std::map<std::string, std::string>;
 
 void
@@ -128,7 +128,7 @@
 TEST_CASE("logs that learn from each other in any order end with the same")
 {
     CHECK(rc::check([] {
-        // The platform, and three instances that ask it or each other.
+        // The platform, and three instances that poll it or each other.
         ChangeLog platform;
         platform.apply(whole(1, {}));
         Values truth;
--- a/src/libcrosslink/membership/duty_lease.cpp
+++ b/src/libcrosslink/membership/duty_lease.cpp
@@ -11,7 +11,8 @@
 namespace
 {
 
-/// An act of an earlier holder is on its way for less than this.
+/// Upper limit of the time for which an action of an earlier holder is in
+/// flight.
 constexpr Micros act_on_its_way = std::chrono::milliseconds(400);
 
 } // namespace
--- a/src/libcrosslink/membership/duty_lease_test.cpp
+++ b/src/libcrosslink/membership/duty_lease_test.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-TEST_CASE("a holder stops well before its lease can lapse")
+TEST_CASE("a holder stops well before its lease can expire")
 {
     DutyLease lease(std::chrono::seconds(1));
     CHECK_FALSE(lease.held(at(0)));
@@ -32,7 +32,8 @@
     CHECK(lease.token() == 7);
 }
 
-TEST_CASE("a new holder waits before its first act, and not after extensions")
+TEST_CASE(
+    "a new holder waits before its first action, but not after extensions")
 {
     DutyLease lease(std::chrono::seconds(1));
     lease.granted(7, at(0), span);
@@ -57,8 +58,8 @@
     CHECK_FALSE(lease.held_within(grace, at(9401)));
 }
 
-TEST_CASE(
-    "acts of two holders are apart, whether the lease lapsed or was given")
+TEST_CASE("actions of two holders are apart, whether the lease expired or was "
+          "released")
 {
     constexpr Micros spacing = std::chrono::seconds(3);
     const Micros settle = DutyLease::takeover_delay(spacing, span);
@@ -99,7 +100,7 @@
     CHECK(lease.may_act(at(1701)));
 }
 
-TEST_CASE("acts of two holders are never nearer than the spacing")
+TEST_CASE("actions of two holders are never closer than the spacing")
 {
     CHECK(rc::check("spacing", [] {
         constexpr std::int64_t spacing = 3000;
@@ -108,8 +109,9 @@
         const Micros settle = std::chrono::milliseconds(spacing - unused);
         DutyLease first(settle);
         DutyLease second(settle);
-        // The first is extended a few times and then cut off or frozen: the
-        // platform ends its lease a span after the last call that arrived.
+        // The first holder extends its lease a few times and is then cut off or
+        // frozen: the platform ends its lease one span after the last call that
+        // arrived.
         std::int64_t now = 0;
         const auto extensions = *rc::gen::inRange(1, 6);
         for (int i = 0; i < extensions; ++i) {
--- a/src/libcrosslink/membership/fleet_tree.cpp
+++ b/src/libcrosslink/membership/fleet_tree.cpp
@@ -15,8 +15,8 @@
 namespace
 {
 
-/// Orders `instances` by their weight for `key`, highest first; those with
-/// weak links stand last.
+/// Sorts `instances` by their weight for `key`, highest first; those with weak
+/// links are last.
 void
 order_by_weight(std::vector<InstanceInfo>& instances, std::string_view key)
 {
@@ -40,7 +40,7 @@
 {
 }
 
-/// Returns the instances that the others of `zone` ask; none in a small fleet.
+/// Returns the instances that the others of `zone` poll; none in a small fleet.
 std::vector<InstanceInfo>
 FleetTree::zone_parents(std::string_view zone) const
 {
--- a/src/libcrosslink/membership/fleet_tree_test.cpp
+++ b/src/libcrosslink/membership/fleet_tree_test.cpp
@@ -20,8 +20,8 @@
 constexpr double strong = 200;
 constexpr double weak = 20;
 
-/// `zones` zones of `each` instances; the first `strong_each` of a zone have
-/// strong links.
+/// Returns `zones` zones of `each` instances; the first `strong_each` of a zone
+/// have strong links.
 std::vector<InstanceInfo>
 fleet_of(int zones, int each, int strong_each)
 {
@@ -42,7 +42,7 @@
     return tree.parents(instance.name, instance.zone, instance.address);
 }
 
-/// Returns how many instances ask each address first.
+/// Returns how many instances poll each address first.
 std::map<std::string, int>
 askers(const std::vector<InstanceInfo>& instances, const std::string& holder)
 {
@@ -58,7 +58,7 @@
 
 } // namespace
 
-TEST_CASE("all instances of a small fleet ask the holder of the duty")
+TEST_CASE("all instances of a small fleet poll the holder of the duty")
 {
     const auto instances = fleet_of(3, 3, 3);
     const FleetTree tree(instances, "z1-1:1");
@@ -97,7 +97,7 @@
     }));
 }
 
-TEST_CASE("without a holder the instances that others ask have no parent")
+TEST_CASE("without a holder, parents have no parent themselves")
 {
     const auto instances = fleet_of(2, 20, 20);
     const FleetTree tree(instances, "");
@@ -121,14 +121,15 @@
             RC_ASSERT(std::find(asked.begin(), asked.end(), instance.address) ==
                       asked.end());
         }
-        // Choices by weight are uneven: a parent has three shares at the most.
+        // Selection by weight is uneven: a parent has at most three times its
+        // share.
         for (const auto& [address, count] : askers(instances, holder))
             if (address != holder)
                 RC_ASSERT(count <= 3 * static_cast<int>(most_children));
     }));
 }
 
-TEST_CASE("whom an instance asks changes only where its parent is gone")
+TEST_CASE("an instance keeps its other parents when one is gone")
 {
     auto instances = fleet_of(1, 64, 64);
     const std::string holder = "elsewhere:1";
--- a/src/libcrosslink/membership/holder_history_test.cpp
+++ b/src/libcrosslink/membership/holder_history_test.cpp
@@ -36,7 +36,7 @@
     CHECK(history.recent(grace, at(9000)).empty());
 }
 
-TEST_CASE("an address that holds the duty again is no earlier holder")
+TEST_CASE("an address that holds the duty again is no former holder")
 {
     HolderHistory history;
     history.set_holder("a", at(0));
@@ -53,7 +53,8 @@
     CHECK(history.is_complete(grace, at(8500)));
 }
 
-TEST_CASE("what another instance saw shortens the wait for earlier holders")
+TEST_CASE(
+    "the history of another instance shortens the wait for former holders")
 {
     HolderHistory history;
     history.record_gap(at(9000));
--- a/src/libcrosslink/membership/lease_renewal_test.cpp
+++ b/src/libcrosslink/membership/lease_renewal_test.cpp
@@ -18,7 +18,7 @@
     lease.granted(1, now, span);
     now += renewal.pause() + renewal.attempt_timeout();
     CHECK(lease.held(now));
-    // The next one takes as long, and is answered just in time.
+    // The next attempt takes as long and is answered just in time.
     now += renewal.retry_delay();
     const TimePoint asked = now;
     now += renewal.attempt_timeout();
--- a/src/libcrosslink/membership/member_table.cpp
+++ b/src/libcrosslink/membership/member_table.cpp
@@ -19,8 +19,8 @@
            member.state == MemberState::Suspect;
 }
 
-/// How grave a state is. Leaving outranks a suspicion, since it is the
-/// member's own word, and only death outranks both.
+/// Returns the precedence of a state. Leaving overrides Suspect, since the
+/// member itself announced it; only Dead overrides both.
 int
 gravity(MemberState state)
 {
@@ -111,7 +111,7 @@
     for (auto& [id, entry] : m_members)
         if (entry.tellings > 0)
             fresh.push_back(&entry);
-    // The least told goes first, so that no news starves another.
+    // Updates with the most sends left go first, so that none is starved.
     std::stable_sort(fresh.begin(), fresh.end(),
                      [](const Entry* one, const Entry* other) {
                          return one->tellings > other->tellings;
@@ -141,7 +141,7 @@
 void
 MemberTable::bury_predecessors(const Member& sender, TimePoint now)
 {
-    // One address serves one process: whoever had it before is gone.
+    // An address belongs to one process: an earlier member at it is gone.
     for (auto& [id, entry] : m_members) {
         const bool same = entry.member.address == sender.address;
         if (!same || id == sender.id || entry.member.state == MemberState::Dead)
@@ -211,7 +211,7 @@
                               entry.member.state == MemberState::Leaving;
         if (!doubtful || !expired)
             continue;
-        // A leaving member still finishes its answers, but is asked nothing;
+        // A leaving member still finishes its answers, but gets no requests;
         // after this time it counts as gone.
         entry.member.state = MemberState::Dead;
         entry.since = now;
--- a/src/libcrosslink/membership/member_table_test.cpp
+++ b/src/libcrosslink/membership/member_table_test.cpp
@@ -26,7 +26,7 @@
     return result;
 }
 
-/// Members that exchange over a table instead of sockets.
+/// Members that exchange messages by calls instead of sockets.
 class TableFleet
 {
 public:
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Returns after how many rounds `done` holds, or -1.
+    /// Returns the number of rounds until `done` holds, or -1.
     template<typename Done> int rounds_until(Done done, int most)
     {
         for (int i = 0; i <= most; ++i) {
@@ -100,7 +100,8 @@
 
 } // namespace
 
-TEST_CASE("members that know one seed come to know all, and a dead one goes")
+TEST_CASE(
+    "members that know one seed find all others, and a dead one is removed")
 {
     TableFleet fleet;
     REQUIRE(fleet.rounds_until([&] { return fleet.all_see(fleet_size); }, 60) >=
@@ -110,7 +111,7 @@
                              60) >= 0);
 }
 
-TEST_CASE("a revision is told to all members")
+TEST_CASE("a revision reaches all members")
 {
     TableFleet fleet;
     REQUIRE(fleet.rounds_until([&] { return fleet.all_see(fleet_size); }, 60) >=
@@ -120,7 +121,7 @@
           0);
 }
 
-TEST_CASE("a suspect that lives refutes")
+TEST_CASE("a suspect that is alive refutes the suspicion")
 {
     MemberTable one(member(1), {});
     MemberTable two(member(2), {});
@@ -133,7 +134,7 @@
     CHECK(one.live().size() == 2);
 }
 
-TEST_CASE("old news does not bring a dead member back")
+TEST_CASE("a stale update does not revive a dead member")
 {
     MemberTable one(member(1), {});
     MemberTable two(member(2), {});
--- a/src/libcrosslink/membership/platform_availability.cpp
+++ b/src/libcrosslink/membership/platform_availability.cpp
@@ -11,12 +11,12 @@
 namespace
 {
 
-/// A connection that breaks, or falls silent, is replaced within this time: the
-/// platform is away where that does not help. An instance that fails tries
-/// again after 0.25 s.
+/// Shortest failure that counts as an outage. A connection that breaks or stops
+/// responding is replaced within this time; the platform is unreachable where
+/// that does not help. An instance retries 0.25 s after a failure.
 constexpr Micros least_away = std::chrono::milliseconds(1500);
-/// Spans that are kept: a bound is some ten seconds, and no two spans begin
-/// within two seconds.
+/// Maximum number of recorded outages: the time limits that depend on them are
+/// some ten seconds, and no two outages begin within two seconds.
 constexpr std::size_t most_spans = 16;
 
 Micros
@@ -57,7 +57,7 @@
 PlatformAvailability::available_time(TimePoint from, TimePoint now) const
 {
     Micros away{0};
-    // Where it went away again while orders had not begun, spans overlap.
+    // Spans overlap where the next outage began before orders resumed.
     TimePoint end = from;
     for (const Span& span : m_away) {
         away += overlap(std::max(from, end), now, span.from, span.to);
--- a/src/libcrosslink/membership/platform_availability_test.cpp
+++ b/src/libcrosslink/membership/platform_availability_test.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("time counts but while the platform is away and orders wait")
+TEST_CASE("time counts except during outages and until orders resume")
 {
     PlatformAvailability reach(span(3000));
     CHECK(reach.available_time(at(0), at(4000)) == span(4000));
@@ -41,7 +41,7 @@
     CHECK(reach.available_time(at(13'500), at(14'000)) == span(500));
 }
 
-TEST_CASE("a connection that breaks is no loss of the platform")
+TEST_CASE("a connection that breaks is no outage of the platform")
 {
     PlatformAvailability reach(span(3000));
     reach.lost(at(5000));
@@ -49,7 +49,7 @@
     CHECK(reach.available_time(at(0), at(7000)) == span(7000));
 }
 
-TEST_CASE("the platform is not away where another instance reaches it")
+TEST_CASE("there is no outage where another instance reaches the platform")
 {
     PlatformAvailability reach(span(3000));
     reach.lost(at(5000));
@@ -62,7 +62,7 @@
     CHECK(reach.in_reach());
 }
 
-TEST_CASE("no time is taken off twice")
+TEST_CASE("no time is subtracted twice")
 {
     PlatformAvailability reach(span(3000));
     reach.lost(at(1000));
--- a/src/libcrosslink/membership/settled_members.cpp
+++ b/src/libcrosslink/membership/settled_members.cpp
@@ -15,7 +15,8 @@
 namespace
 {
 
-/// Keys whose standings are kept; runners come and go under new ids.
+/// Maximum number of keys with a cached rank; limited since runners come and go
+/// under new ids.
 constexpr std::size_t most_standings = 4096;
 
 } // namespace
@@ -51,7 +52,7 @@
             gone(name, now);
 }
 
-/// Forgets those that left long ago.
+/// Removes the members that left and no longer count.
 void
 SettledMembers::expire(TimePoint now)
 {
@@ -146,7 +147,7 @@
     return standing;
 }
 
-/// Returns how long what is true of the members at `now` holds.
+/// Returns the period in which results computed at `now` are valid.
 SettledMembers::Validity
 SettledMembers::validity(TimePoint now) const
 {
@@ -160,7 +161,7 @@
     return valid;
 }
 
-/// Forgets what was worked out of the members before they changed.
+/// Clears the results computed from the members before they changed.
 void
 SettledMembers::changed()
 {
--- a/src/libcrosslink/membership/settled_members_test.cpp
+++ b/src/libcrosslink/membership/settled_members_test.cpp
@@ -27,7 +27,8 @@
     return {name, "127.0.0.1:1", zone, 0};
 }
 
-/// Returns who of `names` takes a share of `most` for "key" in zone a.
+/// Returns those of `names` that are among the first `most` for "key" in zone
+/// a.
 std::set<std::string>
 sharers(const SettledMembers& members, const std::set<std::string>& names,
         std::size_t most, int millis)
@@ -52,7 +53,7 @@
 
 } // namespace
 
-TEST_CASE("as many instances take a share as there are to be")
+TEST_CASE("as many instances take a share as the number allows")
 {
     const SettledMembers members = five_members();
     CHECK(sharers(members, five, 2, 5000).size() == 2);
@@ -60,7 +61,7 @@
     CHECK(members.count("a", at(5000)) == 5);
 }
 
-TEST_CASE("an instance that came takes its share after the settling time")
+TEST_CASE("an instance that joined takes its share after the settling time")
 {
     const SettledMembers members = five_members();
     CHECK(sharers(members, five, 9, 1999).empty());
@@ -68,7 +69,8 @@
     CHECK_FALSE(members.has_share("unlisted", "key", "a", 9, at(5000)));
 }
 
-TEST_CASE("the share of one that left is free only after the settling time")
+TEST_CASE(
+    "the share of an instance that left is free only after the settling time")
 {
     SettledMembers members = five_members();
     const auto before = sharers(members, five, 2, 5000);
@@ -82,7 +84,7 @@
     CHECK(members.count("a", at(7000)) == 4);
 }
 
-TEST_CASE("one that left and came again waits like a new one")
+TEST_CASE("an instance that left and joined again waits like a new one")
 {
     SettledMembers members = five_members();
     members.gone("i1", at(5000));
@@ -91,7 +93,7 @@
     CHECK(members.has_share("i1", "key", "a", 9, at(7500)));
 }
 
-TEST_CASE("a whole list names all that are there")
+TEST_CASE("instances that are missing from a complete list count as gone")
 {
     SettledMembers members = five_members();
     members.keep_only({"i1", "i2"}, at(5000));
--- a/src/libcrosslink/route/cache_index.cpp
+++ b/src/libcrosslink/route/cache_index.cpp
@@ -70,8 +70,8 @@
 void
 CacheIndex::expect(std::span<const Digest> keys)
 {
-    // The last block first: where there is no room for all of a prompt, it is
-    // its beginning that is worth remembering.
+    // Adds the last block first, so that it is removed first: where there is no
+    // room for a whole prompt, its beginning is the part worth keeping.
     for (auto key = keys.rbegin(); key != keys.rend(); ++key)
         add(key->prefix());
 }
--- a/src/libcrosslink/route/engine_table.cpp
+++ b/src/libcrosslink/route/engine_table.cpp
@@ -15,8 +15,8 @@
 constexpr Micros leaving_mark = std::chrono::seconds(30);
 constexpr Micros first_ejection = std::chrono::milliseconds(500);
 constexpr std::uint32_t most_doublings = 5;
-/// Keys believed cached at all engines together, about 80 bytes each; the more
-/// engines there are the fewer are kept of each.
+/// Maximum number of keys in the cache indexes of all engines together, about
+/// 80 bytes each; the more engines there are, the fewer are kept of each.
 constexpr std::size_t most_believed_keys = 131'072;
 
 bool
@@ -30,7 +30,7 @@
                      adapter) != resident.adapters.end();
 }
 
-/// The prompt of this run no longer waits.
+/// Removes the tokens of a run whose prompt no longer waits.
 void
 forget_tokens(EngineEntry& entry, std::string_view run_id)
 {
--- a/src/libcrosslink/route/link_table.cpp
+++ b/src/libcrosslink/route/link_table.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-/// Speed taken for a link of which nothing is known: slow enough that the
-/// first fetches are short ones, which then teach the speed.
+/// Assumed speed of an unknown link, in bytes per second: low enough that the
+/// first fetches are short ones, from which the real speed is measured.
 constexpr double first_guess = 200e6;
 /// Weight of the newest measurement.
 constexpr double learning_rate = 0.3;
@@ -45,8 +45,9 @@
     if (!whole || took.count() <= 0)
         return;
     entry.fetched += bytes;
-    // What else was under way shared the link, so the link itself was faster
-    // than this one fetch; half of the others is taken as its share.
+    // Other fetches in flight shared the link, so the link was faster than this
+    // fetch alone; half of their bytes are assumed to have been carried
+    // meanwhile.
     const double carried =
         static_cast<double>(bytes) + static_cast<double>(shared - bytes) / 2;
     const double measured = std::max(carried / seconds(took), slowest);
--- a/src/libcrosslink/route/router.cpp
+++ b/src/libcrosslink/route/router.cpp
@@ -14,15 +14,17 @@
 namespace
 {
 
-/// Expected times within this share of the least one count as equal.
+/// Expected times that exceed the shortest one by up to this fraction count as
+/// equal.
 constexpr double tie_share = 0.10;
-/// ... and so do those within this span, which is below what load reports
-/// can tell apart.
+/// Expected times that exceed the shortest one by up to this span count as
+/// equal too: load reports are not precise enough to tell them apart.
 constexpr Micros tie_span = std::chrono::milliseconds(2);
-/// Added for an engine in another availability zone: there and back, for the
+/// Added for an engine in another availability zone: the round trip of the
 /// request and its first token.
 constexpr Micros cross_zone = std::chrono::milliseconds(4);
-/// Cost of a fetch beyond its bytes: import, verify, and their calls.
+/// Time of a fetch in addition to its transfer: import, verification and their
+/// calls.
 constexpr Micros fetch_overhead = std::chrono::milliseconds(3);
 constexpr double slowest_prefill = 1.0;
 
@@ -61,9 +63,9 @@
     return engine.own_waiting_tokens() + engine.own_running;
 }
 
-/// Of the near ties the ones that share the longest cached prefix are kept,
-/// then two are picked at random and the less loaded one wins: instances that
-/// decide on the same stale reports do not all pick the same engine.
+/// Keeps the near ties with the longest cached prefix, picks two of them at
+/// random and returns the less loaded one: instances that decide on the same
+/// stale reports do not all choose the same engine.
 RouteChoice
 pick_among_ties(const EngineTable& engines, std::vector<RouteChoice> ties,
                 std::uint64_t random)
@@ -134,8 +136,8 @@
     std::uint64_t tokens = 0;
     if (m_terms.queue)
         tokens += engine.load.waiting_tokens;
-    // Own work is in a report only once the report is newer than the sending;
-    // the larger of both is the best guess of what lies ahead.
+    // A report includes own work only if it is newer than the sending of that
+    // work; the larger of the two is the best estimate of the work ahead.
     if (m_terms.own_sent)
         tokens = std::max(tokens, engine.own_waiting_tokens());
     return compute_time(engine, tokens);
--- a/src/libcrosslink/route/router_test.cpp
+++ b/src/libcrosslink/route/router_test.cpp
@@ -88,7 +88,7 @@
 {
     Scene scene;
     CHECK(scene.choose(true)->fetch_end == blocks);
-    // A link that turned out slow makes recomputing the better choice.
+    // With a link that turned out to be slow, recomputing is faster.
     for (int i = 0; i < 30; ++i) {
         scene.links.begin("s", 1'000'000);
         scene.links.end("s", 1'000'000, std::chrono::seconds(1), true);
@@ -108,7 +108,7 @@
     CHECK_THROWS_AS(scene.engines.sent("one", "r", 1, now), Error);
 }
 
-TEST_CASE("an engine that fails is kept out for a time, then tried again")
+TEST_CASE("a failing engine is excluded for a time, then tried again")
 {
     Scene scene;
     scene.engines.failed("one", now);
@@ -116,7 +116,7 @@
     CHECK(scene.engines.find("one")->takes_work(now + std::chrono::seconds(1)));
 }
 
-TEST_CASE("own work that no report shows yet counts")
+TEST_CASE("own work that is in no report yet counts")
 {
     Scene scene;
     scene.engines.sent("one", "r", 50'000, now);
