--- a/src/include/crosslink/admit/retry_budget.h
+++ b/src/include/crosslink/admit/retry_budget.h
@@ -15,21 +15,26 @@
 {
 public:
     /// Records a first attempt.
-    void first_try() { m_units = std::min(m_units + earned, most); }
+    void first_try()
+    {
+        m_retries = std::min(m_retries + retries_per_attempt, max_retries);
+    }
     /// Returns whether a retry is allowed, and takes it from the budget.
     bool take_retry()
     {
-        if (m_units < 1)
+        if (m_retries < 1)
             return false;
-        m_units -= 1;
+        m_retries -= 1;
         return true;
     }
 
 private:
-    static constexpr double earned = 0.2; ///< Retries per first attempt.
-    static constexpr double most = 20;    ///< Retries that can be saved up.
+    /// Retries that each first attempt adds.
+    static constexpr double retries_per_attempt = 0.2;
+    /// Retries that can be saved up.
+    static constexpr double max_retries = 20;
 
-    double m_units = most / 2;
+    double m_retries = max_retries / 2;
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/claim/answer_cache.h
+++ b/src/include/crosslink/claim/answer_cache.h
@@ -21,8 +21,8 @@
 class AnswerCache
 {
 public:
-    /// `most_bytes` limits the total size of the kept bodies.
-    explicit AnswerCache(std::uint64_t most_bytes);
+    /// `max_bytes` limits the total size of the kept bodies.
+    explicit AnswerCache(std::uint64_t max_bytes);
 
     /// Records that the claimed call is running here.
     void begin(const Digest& key, const Digest& fingerprint);
@@ -35,9 +35,9 @@
     HeldAnswer find(const Digest& key) const;
 
 private:
-    void drop_oldest();
+    void evict_oldest();
 
-    const std::uint64_t m_most_bytes;
+    const std::uint64_t m_max_bytes;
     std::uint64_t m_bytes = 0;
     std::unordered_map<Digest, HeldAnswer> m_answers;
     std::deque<Digest> m_order; ///< Finished calls, oldest first.
--- a/src/include/crosslink/claim/claim_committer.h
+++ b/src/include/crosslink/claim/claim_committer.h
@@ -51,11 +51,11 @@
     static std::vector<ClaimVerdict> verdicts_on(const ClaimSlice& view,
                                                  std::span<const Claim> batch);
     bool swap(std::uint32_t slice, const ClaimSlice::Proposal& proposal);
-    void remove_dropped(std::uint32_t slice, const ClaimSlice& before,
-                        const ClaimSlice& after);
-    void remove_orphan(std::uint32_t slice,
-                       const ClaimSlice::Proposal& proposal,
-                       std::uint64_t expected);
+    void remove_unused_segments(std::uint32_t slice, const ClaimSlice& before,
+                                const ClaimSlice& after);
+    void remove_orphaned_segment(std::uint32_t slice,
+                                 const ClaimSlice::Proposal& proposal,
+                                 std::uint64_t expected);
     void remove_segment(std::uint32_t slice, const Digest& name);
 
     Platform& m_platform;
--- a/src/include/crosslink/claim/claim_slice.h
+++ b/src/include/crosslink/claim/claim_slice.h
@@ -90,7 +90,7 @@
     ClaimVerdict verdict(const Claim& claim) const;
     /// Returns whether the key is neither in the slice nor too old, so that the
     /// claim can be granted.
-    bool would_take(const Claim& claim) const;
+    bool can_grant(const Claim& claim) const;
 
     /// Returns whether a claim with this id is in the slice.
     bool holds_id(std::string_view id) const;
--- a/src/include/crosslink/membership/change_log.h
+++ b/src/include/crosslink/membership/change_log.h
@@ -25,20 +25,21 @@
     bool apply(const ChangePage& page);
     /// Returns the revision up to which the state is complete; nothing before
     /// the first snapshot.
-    std::optional<std::uint64_t> revision() const { return m_place; }
-    /// Returns what follows `revision`: the changes where they are still
+    std::optional<std::uint64_t> revision() const { return m_revision; }
+    /// Returns what follows revision `after`: the changes where they are still
     /// remembered, otherwise a snapshot. The page has no entries where nothing
-    /// is known, or where `revision` is ahead of this log.
-    ChangePage since(std::optional<std::uint64_t> place) const;
+    /// is known, or where `after` is ahead of this log.
+    ChangePage since(std::optional<std::uint64_t> after) const;
 
 private:
-    void take_whole(const ChangePage& page);
-    ChangePage whole() const;
+    void apply_snapshot(const ChangePage& page);
+    ChangePage snapshot() const;
 
-    std::optional<std::uint64_t> m_place;
-    std::uint64_t m_first = 0; ///< Changes after this revision are remembered.
+    std::optional<std::uint64_t> m_revision;
+    /// Changes after this revision are remembered.
+    std::uint64_t m_history_start = 0;
     std::deque<KeyChange> m_changes; ///< Ordered by revision.
-    std::map<std::string, KeyChange> m_known;
+    std::map<std::string, KeyChange> m_state;
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/membership/duty_lease.h
+++ b/src/include/crosslink/membership/duty_lease.h
@@ -22,19 +22,19 @@
     /// action.
     explicit DutyLease(Micros settle) : m_settle(settle) {}
 
-    /// Records a lease that was requested at `asked` and granted for `span`
-    /// from then on under `token`. Also called for extensions. Set
-    /// `replaces_own` where the earlier holder was a process of this instance
-    /// that stopped a moment ago, rather than at the end of the part of its
-    /// lease that it used.
-    void granted(std::uint64_t token, TimePoint asked, Micros span,
+    /// Records a lease that was granted under `token` for `span` from
+    /// `requested_at` on, the time of the request. Also called for extensions.
+    /// Set `replaces_own` where the earlier holder was a process of this
+    /// instance that stopped a moment ago, rather than at the end of the part
+    /// of its lease that it used.
+    void granted(std::uint64_t token, TimePoint requested_at, Micros span,
                  bool replaces_own = false);
     /// Records that the lease has ended or that another instance holds it.
     void lost() { m_token.reset(); }
 
     /// Fraction of the lease that its holder uses. Clock rates agree within 1%;
     /// the rest of the unused part covers actions that are already in flight.
-    static constexpr double used_part = 0.65;
+    static constexpr double used_fraction = 0.65;
     /// Returns the part of a lease of `span` in which its holder does not act.
     static Micros safety_margin(Micros span);
     /// Returns the delay between the grant of a lease of `span` and the first
@@ -51,8 +51,8 @@
     bool may_act(TimePoint now) const;
     /// Returns for how long it may still act; zero where it may not.
     Micros time_left(TimePoint now) const;
-    /// Returns the fencing token, which grows with each new holder; 0 while
-    /// there is no lease.
+    /// Returns the fencing token, which grows with each new holder; 0 before
+    /// the first lease and after lost().
     std::uint64_t token() const { return m_token.value_or(0); }
 
 private:
--- a/src/include/crosslink/membership/fleet_tree.h
+++ b/src/include/crosslink/membership/fleet_tree.h
@@ -21,10 +21,10 @@
 /// Number of instances that poll the same instance for changes. Each polls
 /// about seven times a second, and an answer takes 0.6 ms of CPU time
 /// (calculated): 16 of them take 7% of a core.
-constexpr std::size_t most_children = 16;
+constexpr std::size_t max_children = 16;
 
 /// Determines which instances each instance polls for changes and load, so that
-/// none answers more than about most_children others. In a small fleet all poll
+/// none answers more than about max_children others. In a small fleet all poll
 /// the holder of the duty; in a larger one some instances of each zone poll the
 /// holder, and the others of the zone poll these. Each instance computes the
 /// tree itself from its list of instances. Where the lists differ, some poll an
--- a/src/include/crosslink/membership/member_table.h
+++ b/src/include/crosslink/membership/member_table.h
@@ -24,12 +24,12 @@
 struct MembershipRules {
     Micros ping_period = std::chrono::seconds(1);
     /// A suspect that does not refute within this time is declared dead.
-    Micros suspect_time = std::chrono::seconds(6);
+    Micros suspect_timeout = std::chrono::seconds(6);
     /// A dead member is remembered for this time, so that stale updates can't
     /// revive it.
-    Micros dead_memory = std::chrono::minutes(5);
+    Micros dead_retention = std::chrono::minutes(5);
     /// Maximum number of members reported in one message.
-    std::size_t news_per_message = 12;
+    std::size_t max_updates_per_message = 12;
     /// An update is sent this many times, times log2 of the fleet's size.
     std::uint32_t retransmit_factor = 3;
 };
@@ -83,13 +83,13 @@
     struct Entry {
         Member member;
         TimePoint since; ///< When the state was recorded here.
-        std::uint32_t tellings = 0;
+        std::uint32_t sends_left = 0;
     };
 
-    void take(const Member& told, TimePoint now);
-    void bury_predecessors(const Member& sender, TimePoint now);
-    void refute(const Member& told);
-    std::uint32_t tellings_now() const;
+    void apply(const Member& update, TimePoint now);
+    void mark_predecessors_dead(const Member& sender, TimePoint now);
+    void refute(const Member& update);
+    std::uint32_t sends_per_update() const;
 
     Member m_self;
     const MembershipRules m_rules;
@@ -100,6 +100,6 @@
 /// Returns whether `update` overrides what is `known` of the same member: the
 /// higher incarnation wins, then the state of higher precedence, then the
 /// higher revision.
-bool overrides(const Member& news, const Member& known);
+bool overrides(const Member& update, const Member& known);
 
 } // namespace crosslink
--- a/src/include/crosslink/membership/platform_availability.h
+++ b/src/include/crosslink/membership/platform_availability.h
@@ -13,10 +13,10 @@
 
 /// The outages of the platform that affect the whole fleet, as far as one
 /// instance knows them. During an outage no instance can take or extend the
-/// duty of orders, so runners can't be brought to new weights: a time limit for
-/// that must not include outages. With a limit that includes them, 76 in 100
-/// calls were served during a rollout with an outage of 6 s; 87 with one that
-/// does not.
+/// duty under which orders are given, so runners can't be brought to new
+/// weights: a time limit for that must not include outages. With a limit that
+/// includes them, 76 in 100 calls were served during a rollout with an outage
+/// of 6 s; 87 with one that does not.
 class PlatformAvailability
 {
 public:
@@ -40,14 +40,14 @@
 
 private:
     /// A period in which no order could be given.
-    struct Span {
+    struct Outage {
         TimePoint from{};
         TimePoint to{};
     };
 
     const Micros m_settle;
     std::optional<TimePoint> m_lost_at;
-    std::deque<Span> m_away; ///< Ordered by their ends.
+    std::deque<Outage> m_outages; ///< Ordered by their ends.
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/membership/settled_members.h
+++ b/src/include/crosslink/membership/settled_members.h
@@ -39,11 +39,11 @@
     /// Returns the number of instances that count in `zone`; in all zones where
     /// `zone` has none.
     std::size_t count(std::string_view zone, TimePoint now) const;
-    /// Returns whether `name` is among the first `most` instances of `zone` in
-    /// the order for `key`, and may take its share. Where the zone has no
-    /// instance, those of all zones count.
+    /// Returns whether `name` is among the first `max_instances` instances of
+    /// `zone` in the order for `key`, and may take its share. Where the zone
+    /// has no instance, those of all zones count.
     bool has_share(std::string_view name, std::string_view key,
-                   std::string_view zone, std::size_t most,
+                   std::string_view zone, std::size_t max_instances,
                    TimePoint now) const;
 
 private:
@@ -67,21 +67,21 @@
         Validity valid;
     };
     /// The rank of an instance among those that share a key.
-    struct Standing {
+    struct Rank {
         std::string name;
         std::string zone;
         /// Number of instances ahead of it; the maximum where it has no share.
-        std::size_t before = 0;
+        std::size_t ahead = 0;
         Validity valid;
     };
 
-    const Standing& standing(std::string_view name, std::string_view key,
-                             std::string_view zone, TimePoint now) const;
-    Standing work_out(std::string_view name, std::string_view key,
+    const Rank& rank(std::string_view name, std::string_view key,
+                     std::string_view zone, TimePoint now) const;
+    Rank compute_rank(std::string_view name, std::string_view key,
                       std::string_view zone, TimePoint now) const;
-    std::size_t work_out_count(std::string_view zone, TimePoint now) const;
+    std::size_t compute_count(std::string_view zone, TimePoint now) const;
     Validity validity(TimePoint now) const;
-    void changed();
+    void invalidate();
     void expire(TimePoint now);
     bool counts(const Member& member, TimePoint now) const;
     bool has_any(std::string_view zone, TimePoint now) const;
@@ -93,7 +93,7 @@
     // change.
     mutable std::map<std::string, Count, std::less<>> m_counts; ///< By zone.
     /// By key.
-    mutable std::map<std::string, Standing, std::less<>> m_standings;
+    mutable std::map<std::string, Rank, std::less<>> m_ranks;
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/route/cache_index.h
+++ b/src/include/crosslink/route/cache_index.h
@@ -21,7 +21,7 @@
 {
 public:
     /// Sets the maximum number of keys; the oldest are removed first.
-    void set_capacity(std::size_t most_keys);
+    void set_capacity(std::size_t max_keys);
     /// Applies `events`. Returns false at a gap in the sequence numbers: the
     /// caller must then call resync(). Repeated events are ignored.
     bool apply(std::span<const CacheEvent> events);
@@ -34,7 +34,7 @@
     std::size_t prefix(std::span<const Digest> keys) const;
     /// Returns the sequence number of the newest applied event.
     std::uint64_t sequence() const { return m_sequence; }
-    std::size_t size() const { return m_places.size(); }
+    std::size_t size() const { return m_positions.size(); }
     /// Removes all keys and restarts the sequence, for an engine that
     /// restarted.
     void clear();
@@ -45,15 +45,15 @@
 
     void shrink();
 
-    static constexpr std::size_t most_keys_at_first = 20'000;
+    static constexpr std::size_t default_max_keys = 20'000;
 
-    std::size_t m_most_keys = most_keys_at_first;
+    std::size_t m_max_keys = default_max_keys;
     std::uint64_t m_sequence = 0;
     /// Keys are stored as their first eight bytes: a collision only makes the
     /// estimate wrong, which is allowed.
     std::list<std::uint64_t> m_order; ///< Oldest first, for eviction.
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator>
-        m_places;
+        m_positions;
 };
 
 } // namespace crosslink
--- a/src/include/crosslink/route/engine_table.h
+++ b/src/include/crosslink/route/engine_table.h
@@ -31,12 +31,12 @@
     CacheIndex cache;
     /// Prompt tokens, by run, that this instance has sent and that, as far as
     /// it knows, are not computed yet.
-    std::map<std::string, std::uint64_t, std::less<>> own_tokens;
+    std::map<std::string, std::uint64_t, std::less<>> own_tokens_by_run;
     std::uint32_t own_running = 0; ///< Own runs that have not ended.
 
     /// Returns whether it may be given new work at `now`.
     bool takes_work(TimePoint now) const;
-    /// Returns the sum of own_tokens.
+    /// Returns the sum of own_tokens_by_run.
     std::uint64_t own_waiting_tokens() const;
     /// Returns whether it has the model, version and adapter in memory.
     bool has(std::string_view model, std::string_view version,
--- a/src/include/crosslink/route/router.h
+++ b/src/include/crosslink/route/router.h
@@ -28,7 +28,7 @@
     Priced,         ///< The shortest expected time to first token.
 };
 
-/// The terms of the expected time, for ablation. All are enabled in production.
+/// The terms of the expected time, for ablation. All are enabled by default.
 struct RouteTerms {
     bool queue = true;     ///< Count waiting work as reported.
     bool own_sent = true;  ///< Count own work sent since the report.
@@ -74,13 +74,13 @@
                                       TimePoint now);
 
 private:
-    RouteChoice price(const EngineEntry& engine, const LinkTable& links,
-                      const RouteRequest& request) const;
+    RouteChoice estimate(const EngineEntry& engine, const LinkTable& links,
+                         const RouteRequest& request) const;
     Micros queue_time(const EngineEntry& engine) const;
 
     const RoutePolicy m_policy;
     const RouteTerms m_terms;
-    std::uint64_t m_turn = 0;
+    std::uint64_t m_next = 0;
 };
 
 } // namespace crosslink
--- a/src/libcrosslink/admit/admission.cpp
+++ b/src/libcrosslink/admit/admission.cpp
@@ -15,7 +15,7 @@
 
 /// Burst that is allowed to an account, in seconds of its rate.
 constexpr double burst_seconds = 2;
-constexpr Micros come_back = std::chrono::milliseconds(500);
+constexpr Micros retry_after = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -32,7 +32,7 @@
     if (state.open >= most_open)
         throw Error(ErrorCode::ConcurrencyLimited,
                     "too many requests of this account at once",
-                    RunState::NotDispatched, come_back);
+                    RunState::NotDispatched, retry_after);
     const double request_rate =
         account.policy->limits.requests_per_second * share;
     const double request_burst = std::max(1.0, request_rate * burst_seconds);
@@ -62,7 +62,7 @@
         m_running.size() >= m_rules.most_running || m_waiting > 0;
     if (must_wait && m_waiting >= m_rules.most_waiting)
         throw Error(ErrorCode::QueueFull, "this instance is full",
-                    RunState::NotDispatched, come_back);
+                    RunState::NotDispatched, retry_after);
     check_limits(state, account, tokens, share, now);
     const std::uint64_t ticket = m_next_ticket++;
     const double start = std::max(m_virtual_time, state.last_finish);
--- a/src/libcrosslink/claim/answer_cache.cpp
+++ b/src/libcrosslink/claim/answer_cache.cpp
@@ -10,17 +10,17 @@
 {
 
 /// Bytes counted for each kept answer in addition to its body.
-constexpr std::uint64_t overhead = 256;
+constexpr std::uint64_t entry_overhead = 256;
 
 std::uint64_t
 cost_of(const HeldAnswer& held)
 {
-    return held.answer.body.size() + overhead;
+    return held.answer.body.size() + entry_overhead;
 }
 
 } // namespace
 
-AnswerCache::AnswerCache(std::uint64_t most_bytes) : m_most_bytes(most_bytes)
+AnswerCache::AnswerCache(std::uint64_t max_bytes) : m_max_bytes(max_bytes)
 {
 }
 
@@ -40,12 +40,12 @@
     held.answer = std::move(answer);
     m_bytes += cost_of(held);
     m_order.push_back(key);
-    while (m_bytes > m_most_bytes && !m_order.empty())
-        drop_oldest();
+    while (m_bytes > m_max_bytes && !m_order.empty())
+        evict_oldest();
 }
 
 void
-AnswerCache::drop_oldest()
+AnswerCache::evict_oldest()
 {
     const auto found = m_answers.find(m_order.front());
     m_order.pop_front();
--- a/src/libcrosslink/claim/claim_committer.cpp
+++ b/src/libcrosslink/claim/claim_committer.cpp
@@ -14,8 +14,8 @@
 
 /// Maximum number of attempts of one commit; each attempt that loses a race, or
 /// gets no answer, is followed by another.
-constexpr int max_rounds = 8;
-constexpr Micros come_back = std::chrono::seconds(1);
+constexpr int max_attempts = 8;
+constexpr Micros retry_after = std::chrono::seconds(1);
 
 } // namespace
 
@@ -85,17 +85,18 @@
     const SwapOutcome outcome = m_platform.write_if(
         claim_head_key(slice), proposal.head.to_json(), before.version());
     if (!outcome.applied) {
-        remove_orphan(slice, proposal, before.version());
+        remove_orphaned_segment(slice, proposal, before.version());
         return false;
     }
     m_views.at(slice) = before.after(proposal, outcome.version);
-    remove_dropped(slice, before, *m_views.at(slice));
+    remove_unused_segments(slice, before, *m_views.at(slice));
     return true;
 }
 
 void
-ClaimCommitter::remove_dropped(std::uint32_t slice, const ClaimSlice& before,
-                               const ClaimSlice& after)
+ClaimCommitter::remove_unused_segments(std::uint32_t slice,
+                                       const ClaimSlice& before,
+                                       const ClaimSlice& after)
 {
     for (const auto& [name, claims] : before.segments())
         if (!after.segments().contains(name))
@@ -103,9 +104,9 @@
 }
 
 void
-ClaimCommitter::remove_orphan(std::uint32_t slice,
-                              const ClaimSlice::Proposal& proposal,
-                              std::uint64_t expected)
+ClaimCommitter::remove_orphaned_segment(std::uint32_t slice,
+                                        const ClaimSlice::Proposal& proposal,
+                                        std::uint64_t expected)
 {
     if (proposal.moved.empty())
         return;
@@ -140,7 +141,7 @@
     // A claim to be released may have been committed by another instance, so
     // the present state of the slice is read first.
     bool stale = !releases.empty();
-    for (int round = 0; round < max_rounds; ++round) {
+    for (int attempt = 0; attempt < max_attempts; ++attempt) {
         try {
             View& view = m_views.at(slice);
             if (!view || stale)
@@ -160,12 +161,12 @@
             throw Error(ErrorCode::ClaimUnavailable,
                         std::string("claims can't be committed: ") +
                             failure.what(),
-                        RunState::NotDispatched, come_back);
+                        RunState::NotDispatched, retry_after);
         }
     }
     throw Error(ErrorCode::ClaimUnavailable,
                 "claims can't be committed: too many lost races",
-                RunState::NotDispatched, come_back);
+                RunState::NotDispatched, retry_after);
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/claim/claim_committer_test.cpp
+++ b/src/libcrosslink/claim/claim_committer_test.cpp
@@ -98,9 +98,9 @@
         // The preferred instance may commit the claim while its answer is lost;
         // the same claim is then decided again by another instance.
         if (*rc::gen::inRange(0, 4) == 0)
-            ask(*rc::gen::inRange(0, instances), claim);
-        if (ask(*rc::gen::inRange(0, instances), claim))
-            dispatch_or_give_back(key, claim);
+            request_claim(*rc::gen::inRange(0, instances), claim);
+        if (request_claim(*rc::gen::inRange(0, instances), claim))
+            dispatch_or_release(key, claim);
     }
 
     void random_step()
@@ -120,7 +120,7 @@
         }
     }
 
-    int most_runs_of_one_key() const
+    int max_runs_per_key() const
     {
         int most = 0;
         for (const auto& [key, runs] : m_runs)
@@ -144,7 +144,7 @@
     }
 
     /// Returns whether the verdict was Granted and arrived.
-    bool ask(int number, const Claim& claim)
+    bool request_claim(int number, const Claim& claim)
     {
         if (!m_busy.insert(number).second)
             return false;
@@ -159,7 +159,7 @@
         return granted;
     }
 
-    void dispatch_or_give_back(int key, const Claim& claim)
+    void dispatch_or_release(int key, const Claim& claim)
     {
         if (*rc::gen::inRange(0, 4) != 0) {
             ++m_runs[key];
@@ -180,8 +180,8 @@
 
     void interrupt()
     {
-        constexpr int deepest = 2;
-        if (m_depth >= deepest || *rc::gen::inRange(0, 3) != 0)
+        constexpr int max_depth = 2;
+        if (m_depth >= max_depth || *rc::gen::inRange(0, 3) != 0)
             return;
         ++m_depth;
         random_step();
@@ -348,7 +348,7 @@
         for (int i = 0; i < steps; ++i)
             fleet.random_step();
         runs += fleet.runs();
-        RC_ASSERT(fleet.most_runs_of_one_key() <= 1);
+        RC_ASSERT(fleet.max_runs_per_key() <= 1);
     });
     CHECK(held);
     // The property is meaningless if no call ever runs.
--- a/src/libcrosslink/claim/claim_slice.cpp
+++ b/src/libcrosslink/claim/claim_slice.cpp
@@ -225,7 +225,7 @@
 }
 
 bool
-ClaimSlice::would_take(const Claim& claim) const
+ClaimSlice::can_grant(const Claim& claim) const
 {
     return claim.key_time >= m_head.floor && !m_by_key.contains(claim.key);
 }
@@ -238,9 +238,9 @@
     Proposal proposal;
     proposal.head = m_head;
     ClaimHead& head = proposal.head;
-    std::set<Digest> taken;
+    std::set<Digest> granted;
     for (const Claim& claim : batch) {
-        if (!would_take(claim) || !taken.insert(claim.key).second)
+        if (!can_grant(claim) || !granted.insert(claim.key).second)
             continue;
         head.recent.push_back(claim);
         proposal.changed = true;
--- a/src/libcrosslink/claim/key_time.cpp
+++ b/src/libcrosslink/claim/key_time.cpp
@@ -14,7 +14,7 @@
 {
 
 constexpr std::size_t uuid_length = 36;
-constexpr std::size_t version_place = 14;
+constexpr std::size_t version_index = 14;
 constexpr std::size_t time_digits = 12;
 constexpr int hexadecimal = 16;
 
@@ -37,7 +37,7 @@
 std::optional<UnixMillis>
 key_time_of(std::string_view key)
 {
-    if (!is_uuid(key) || key[version_place] != '7')
+    if (!is_uuid(key) || key[version_index] != '7')
         return std::nullopt;
     std::string digits(key.substr(0, 8));
     digits += key.substr(9, time_digits - digits.size());
--- a/src/libcrosslink/membership/change_log.cpp
+++ b/src/libcrosslink/membership/change_log.cpp
@@ -16,7 +16,7 @@
 /// second; a rollout over a thousand runners makes that many changes within
 /// seconds. An instance that missed more gets a snapshot, which costs its link
 /// about 100 KB.
-constexpr std::size_t most_changes = 4000;
+constexpr std::size_t max_changes = 4000;
 
 } // namespace
 
@@ -24,63 +24,63 @@
 ChangeLog::apply(const ChangePage& page)
 {
     if (page.is_snapshot) {
-        if (m_place && page.revision < *m_place)
+        if (m_revision && page.revision < *m_revision)
             return false;
-        take_whole(page);
+        apply_snapshot(page);
         return true;
     }
-    if (!m_place || page.since != *m_place || page.revision < *m_place)
+    if (!m_revision || page.since != *m_revision || page.revision < *m_revision)
         return false;
-    m_place = page.revision;
+    m_revision = page.revision;
     for (const KeyChange& entry : page.entries) {
         if (entry.value)
-            m_known[entry.key] = entry;
+            m_state[entry.key] = entry;
         else
-            m_known.erase(entry.key);
+            m_state.erase(entry.key);
         m_changes.push_back(entry);
     }
-    while (m_changes.size() > most_changes) {
-        m_first = std::max(m_first, m_changes.front().revision);
+    while (m_changes.size() > max_changes) {
+        m_history_start = std::max(m_history_start, m_changes.front().revision);
         m_changes.pop_front();
     }
     return true;
 }
 
 void
-ChangeLog::take_whole(const ChangePage& page)
+ChangeLog::apply_snapshot(const ChangePage& page)
 {
-    m_place = page.revision;
-    m_first = page.revision;
+    m_revision = page.revision;
+    m_history_start = page.revision;
     m_changes.clear();
-    m_known.clear();
+    m_state.clear();
     for (const KeyChange& entry : page.entries)
         if (entry.value)
-            m_known[entry.key] = entry;
+            m_state[entry.key] = entry;
 }
 
 ChangePage
-ChangeLog::whole() const
+ChangeLog::snapshot() const
 {
     ChangePage page;
-    page.revision = *m_place;
+    page.revision = *m_revision;
     page.is_snapshot = true;
-    for (const auto& [key, entry] : m_known)
+    for (const auto& [key, entry] : m_state)
         page.entries.push_back(entry);
     return page;
 }
 
 ChangePage
-ChangeLog::since(std::optional<std::uint64_t> place) const
+ChangeLog::since(std::optional<std::uint64_t> after) const
 {
-    if (!m_place)
+    if (!m_revision)
         return {};
-    if (!place || *place < m_first)
-        return whole();
+    if (!after || *after < m_history_start)
+        return snapshot();
     ChangePage page;
-    page.since = *place;
-    page.revision = std::max(*place, *m_place);
+    page.since = *after;
+    page.revision = std::max(*after, *m_revision);
     for (const KeyChange& entry : m_changes)
-        if (entry.revision > *place)
+        if (entry.revision > *after)
             page.entries.push_back(entry);
     return page;
 }
--- a/src/libcrosslink/membership/change_log_test.cpp
+++ b/src/libcrosslink/membership/change_log_test.cpp
@@ -24,16 +24,16 @@
 }
 
 ChangePage
-whole(std::uint64_t place, std::vector<KeyChange> entries)
+snapshot(std::uint64_t revision, std::vector<KeyChange> entries)
 {
-    return {0, place, true, std::move(entries)};
+    return {0, revision, true, std::move(entries)};
 }
 
 ChangePage
-changes(std::uint64_t since, std::uint64_t place,
+changes(std::uint64_t since, std::uint64_t revision,
         std::vector<KeyChange> entries)
 {
-    return {since, place, false, std::move(entries)};
+    return {since, revision, false, std::move(entries)};
 }
 
 /// All keys of one or several pages, with their latest values.
@@ -75,10 +75,10 @@
 TEST_CASE("only a page that goes on where the log stands is taken")
 {
     ChangeLog log;
-    REQUIRE(log.apply(whole(10, {entry("a", "1", 7)})));
+    REQUIRE(log.apply(snapshot(10, {entry("a", "1", 7)})));
     CHECK_FALSE(log.apply(changes(8, 12, {entry("a", "0", 9)})));
     CHECK_FALSE(log.apply(changes(11, 12, {entry("a", "2", 12)})));
-    CHECK_FALSE(log.apply(whole(9, {entry("a", "0", 9)})));
+    CHECK_FALSE(log.apply(snapshot(9, {entry("a", "0", 9)})));
     CHECK(values_of(log) == Values{{"a", "1"}});
     CHECK(log.apply(changes(10, 12, {entry("a", "2", 12)})));
     CHECK(values_of(log) == Values{{"a", "2"}});
@@ -88,7 +88,7 @@
 TEST_CASE("who stands in the log gets what follows, others get all there is")
 {
     ChangeLog log;
-    REQUIRE(log.apply(whole(10, {entry("a", "1", 7), entry("b", "1", 8)})));
+    REQUIRE(log.apply(snapshot(10, {entry("a", "1", 7), entry("b", "1", 8)})));
     REQUIRE(log.apply(changes(10, 12, {entry("a", "2", 11)})));
     REQUIRE(log.apply(changes(12, 13, {{"b", std::nullopt, 13}})));
     const ChangePage next = log.since(11);
@@ -105,7 +105,7 @@
 TEST_CASE("who knows more than the log is told nothing and stays")
 {
     ChangeLog log;
-    REQUIRE(log.apply(whole(10, {entry("a", "1", 7)})));
+    REQUIRE(log.apply(snapshot(10, {entry("a", "1", 7)})));
     const ChangePage page = log.since(20);
     CHECK_FALSE(page.is_snapshot);
     CHECK(page.entries.empty());
@@ -115,7 +115,7 @@
 TEST_CASE("a log that forgot changes tells all there is")
 {
     ChangeLog log;
-    REQUIRE(log.apply(whole(1, {})));
+    REQUIRE(log.apply(snapshot(1, {})));
     constexpr std::uint64_t many = 10'000;
     for (std::uint64_t at = 2; at <= many; ++at)
         REQUIRE(log.apply(changes(at - 1, at, {entry("a", "x", at)})));
@@ -130,7 +130,7 @@
     CHECK(rc::check([] {
         // The platform, and three instances that poll it or each other.
         ChangeLog platform;
-        platform.apply(whole(1, {}));
+        platform.apply(snapshot(1, {}));
         Values truth;
         std::vector<ChangeLog> logs(3);
         std::vector<std::uint64_t> seen(3, 0);
@@ -157,9 +157,9 @@
             const ChangeLog& from = teacher == 3 ? platform : logs[teacher];
             ChangeLog& log = logs[learner];
             log.apply(from.since(log.revision()));
-            const std::uint64_t place = log.revision().value_or(0);
-            RC_ASSERT(place >= seen[learner]);
-            seen[learner] = place;
+            const std::uint64_t learned = log.revision().value_or(0);
+            RC_ASSERT(learned >= seen[learner]);
+            seen[learner] = learned;
         }
         for (ChangeLog& log : logs) {
             log.apply(platform.since(log.revision()));
--- a/src/libcrosslink/membership/duty_lease.cpp
+++ b/src/libcrosslink/membership/duty_lease.cpp
@@ -13,7 +13,7 @@
 
 /// Upper limit of the time for which an action of an earlier holder is in
 /// flight.
-constexpr Micros act_on_its_way = std::chrono::milliseconds(400);
+constexpr Micros max_action_flight_time = std::chrono::milliseconds(400);
 
 } // namespace
 
@@ -21,25 +21,25 @@
 DutyLease::safety_margin(Micros span)
 {
     const auto count = static_cast<double>(span.count());
-    return Micros(static_cast<Micros::rep>(count * (1 - used_part)));
+    return Micros(static_cast<Micros::rep>(count * (1 - used_fraction)));
 }
 
 Micros
 DutyLease::takeover_delay(Micros spacing, Micros span)
 {
-    return spacing - safety_margin(span) + act_on_its_way;
+    return spacing - safety_margin(span) + max_action_flight_time;
 }
 
 void
-DutyLease::granted(std::uint64_t token, TimePoint asked, Micros span,
+DutyLease::granted(std::uint64_t token, TimePoint requested_at, Micros span,
                    bool replaces_own)
 {
     const Micros used(static_cast<Micros::rep>(
-        static_cast<double>(span.count()) * used_part));
+        static_cast<double>(span.count()) * used_fraction));
     if (m_token != token)
-        m_since = replaces_own ? asked + (span - used) : asked;
+        m_since = replaces_own ? requested_at + (span - used) : requested_at;
     m_token = token;
-    m_until = std::max(m_until, asked + used);
+    m_until = std::max(m_until, requested_at + used);
 }
 
 bool
--- a/src/libcrosslink/membership/duty_lease_test.cpp
+++ b/src/libcrosslink/membership/duty_lease_test.cpp
@@ -105,7 +105,7 @@
     CHECK(rc::check("spacing", [] {
         constexpr std::int64_t spacing = 3000;
         const auto unused =
-            static_cast<std::int64_t>(2000 * (1 - DutyLease::used_part));
+            static_cast<std::int64_t>(2000 * (1 - DutyLease::used_fraction));
         const Micros settle = std::chrono::milliseconds(spacing - unused);
         DutyLease first(settle);
         DutyLease second(settle);
--- a/src/libcrosslink/membership/fleet_tree.cpp
+++ b/src/libcrosslink/membership/fleet_tree.cpp
@@ -18,7 +18,7 @@
 /// Sorts `instances` by their weight for `key`, highest first; those with weak
 /// links are last.
 void
-order_by_weight(std::vector<InstanceInfo>& instances, std::string_view key)
+sort_by_weight(std::vector<InstanceInfo>& instances, std::string_view key)
 {
     const auto rank = [key](const InstanceInfo& instance) {
         return std::tuple(instance.link_mbps >= strong_link_mbps,
@@ -44,15 +44,15 @@
 std::vector<InstanceInfo>
 FleetTree::zone_parents(std::string_view zone) const
 {
-    if (m_instances.size() <= most_children)
+    if (m_instances.size() <= max_children)
         return {};
     std::vector<InstanceInfo> chosen;
     for (const InstanceInfo& instance : m_instances)
         if (instance.zone == zone && instance.address != m_holder)
             chosen.push_back(instance);
-    order_by_weight(chosen, zone);
+    sort_by_weight(chosen, zone);
     const std::size_t wanted =
-        (chosen.size() + most_children - 1) / most_children;
+        (chosen.size() + max_children - 1) / max_children;
     chosen.resize(std::min(wanted, chosen.size()));
     return chosen;
 }
@@ -63,9 +63,9 @@
 {
     std::vector<std::string> addresses;
     if (!is_parent(name, zone)) {
-        std::vector<InstanceInfo> near = zone_parents(zone);
-        order_by_weight(near, name);
-        for (const InstanceInfo& instance : near)
+        std::vector<InstanceInfo> candidates = zone_parents(zone);
+        sort_by_weight(candidates, name);
+        for (const InstanceInfo& instance : candidates)
             addresses.push_back(instance.address);
     }
     if (!m_holder.empty())
@@ -77,9 +77,9 @@
 bool
 FleetTree::is_parent(std::string_view name, std::string_view zone) const
 {
-    const std::vector<InstanceInfo> asked = zone_parents(zone);
+    const std::vector<InstanceInfo> selected = zone_parents(zone);
     return std::any_of(
-        asked.begin(), asked.end(),
+        selected.begin(), selected.end(),
         [name](const InstanceInfo& instance) { return instance.name == name; });
 }
 
--- a/src/libcrosslink/membership/fleet_tree_test.cpp
+++ b/src/libcrosslink/membership/fleet_tree_test.cpp
@@ -44,7 +44,8 @@
 
 /// Returns how many instances poll each address first.
 std::map<std::string, int>
-askers(const std::vector<InstanceInfo>& instances, const std::string& holder)
+pollers_by_parent(const std::vector<InstanceInfo>& instances,
+                  const std::string& holder)
 {
     const FleetTree tree(instances, holder);
     std::map<std::string, int> count;
@@ -123,9 +124,10 @@
         }
         // Selection by weight is uneven: a parent has at most three times its
         // share.
-        for (const auto& [address, count] : askers(instances, holder))
+        for (const auto& [address, count] :
+             pollers_by_parent(instances, holder))
             if (address != holder)
-                RC_ASSERT(count <= 3 * static_cast<int>(most_children));
+                RC_ASSERT(count <= 3 * static_cast<int>(max_children));
     }));
 }
 
--- a/src/libcrosslink/membership/lease_renewal_test.cpp
+++ b/src/libcrosslink/membership/lease_renewal_test.cpp
@@ -20,13 +20,13 @@
     CHECK(lease.held(now));
     // The next attempt takes as long and is answered just in time.
     now += renewal.retry_delay();
-    const TimePoint asked = now;
+    const TimePoint requested_at = now;
     now += renewal.attempt_timeout();
-    lease.granted(1, asked, span);
+    lease.granted(1, requested_at, span);
     CHECK(lease.held(now));
     CHECK(now - TimePoint{} <=
           Micros(static_cast<Micros::rep>(static_cast<double>(span.count()) *
-                                          DutyLease::used_part)));
+                                          DutyLease::used_fraction)));
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/membership/member_table.cpp
+++ b/src/libcrosslink/membership/member_table.cpp
@@ -13,7 +13,7 @@
 {
 
 bool
-may_be_spoken_to(const Member& member)
+is_live(const Member& member)
 {
     return member.state == MemberState::Alive ||
            member.state == MemberState::Suspect;
@@ -22,7 +22,7 @@
 /// Returns the precedence of a state. Leaving overrides Suspect, since the
 /// member itself announced it; only Dead overrides both.
 int
-gravity(MemberState state)
+precedence(MemberState state)
 {
     switch (state) {
     case MemberState::Alive:
@@ -40,13 +40,13 @@
 } // namespace
 
 bool
-overrides(const Member& news, const Member& known)
+overrides(const Member& update, const Member& known)
 {
-    if (news.incarnation != known.incarnation)
-        return news.incarnation > known.incarnation;
-    if (news.state != known.state)
-        return gravity(news.state) > gravity(known.state);
-    return news.revision > known.revision;
+    if (update.incarnation != known.incarnation)
+        return update.incarnation > known.incarnation;
+    if (update.state != known.state)
+        return precedence(update.state) > precedence(known.state);
+    return update.revision > known.revision;
 }
 
 MemberTable::MemberTable(Member self, MembershipRules rules)
@@ -55,7 +55,7 @@
 }
 
 std::uint32_t
-MemberTable::tellings_now() const
+MemberTable::sends_per_update() const
 {
     const auto size = std::max<std::size_t>(m_members.size() + 1, 2);
     return m_rules.retransmit_factor *
@@ -93,7 +93,7 @@
     std::vector<std::string> unknown = m_seeds;
     for (const auto& [id, entry] : m_members) {
         std::erase(unknown, entry.member.address);
-        if (may_be_spoken_to(entry.member))
+        if (is_live(entry.member))
             targets.push_back(entry.member.address);
     }
     targets.insert(targets.end(), unknown.begin(), unknown.end());
@@ -107,19 +107,19 @@
 {
     GossipMessage result;
     result.sender = m_self;
-    std::vector<Entry*> fresh;
+    std::vector<Entry*> pending;
     for (auto& [id, entry] : m_members)
-        if (entry.tellings > 0)
-            fresh.push_back(&entry);
+        if (entry.sends_left > 0)
+            pending.push_back(&entry);
     // Updates with the most sends left go first, so that none is starved.
-    std::stable_sort(fresh.begin(), fresh.end(),
+    std::stable_sort(pending.begin(), pending.end(),
                      [](const Entry* one, const Entry* other) {
-                         return one->tellings > other->tellings;
+                         return one->sends_left > other->sends_left;
                      });
-    if (fresh.size() > m_rules.news_per_message)
-        fresh.resize(m_rules.news_per_message);
-    for (Entry* entry : fresh) {
-        --entry->tellings;
+    if (pending.size() > m_rules.max_updates_per_message)
+        pending.resize(m_rules.max_updates_per_message);
+    for (Entry* entry : pending) {
+        --entry->sends_left;
         result.news.push_back(entry->member);
     }
     for (const auto& [id, entry] : m_members)
@@ -132,14 +132,14 @@
 void
 MemberTable::receive(const GossipMessage& message, TimePoint now)
 {
-    bury_predecessors(message.sender, now);
-    take(message.sender, now);
-    for (const Member& told : message.news)
-        take(told, now);
+    mark_predecessors_dead(message.sender, now);
+    apply(message.sender, now);
+    for (const Member& update : message.news)
+        apply(update, now);
 }
 
 void
-MemberTable::bury_predecessors(const Member& sender, TimePoint now)
+MemberTable::mark_predecessors_dead(const Member& sender, TimePoint now)
 {
     // An address belongs to one process: an earlier member at it is gone.
     for (auto& [id, entry] : m_members) {
@@ -148,44 +148,45 @@
             continue;
         entry.member.state = MemberState::Dead;
         entry.since = now;
-        entry.tellings = tellings_now();
+        entry.sends_left = sends_per_update();
     }
 }
 
 void
-MemberTable::refute(const Member& told)
+MemberTable::refute(const Member& update)
 {
-    if (told.incarnation < m_self.incarnation)
+    if (update.incarnation < m_self.incarnation)
         return;
-    const bool agrees = told.state == m_self.state;
-    if (agrees && told.incarnation == m_self.incarnation)
+    const bool agrees = update.state == m_self.state;
+    if (agrees && update.incarnation == m_self.incarnation)
         return;
-    m_self.incarnation = told.incarnation + 1;
+    m_self.incarnation = update.incarnation + 1;
 }
 
 void
-MemberTable::take(const Member& told, TimePoint now)
+MemberTable::apply(const Member& update, TimePoint now)
 {
-    if (told.id == m_self.id) {
-        refute(told);
+    if (update.id == m_self.id) {
+        refute(update);
         return;
     }
-    const auto found = m_members.find(told.id);
+    const auto found = m_members.find(update.id);
     if (found == m_members.end()) {
-        if (told.state != MemberState::Dead)
-            m_members.emplace(told.id, Entry{told, now, tellings_now()});
+        if (update.state != MemberState::Dead)
+            m_members.emplace(update.id,
+                              Entry{update, now, sends_per_update()});
         return;
     }
     Entry& entry = found->second;
-    if (!overrides(told, entry.member))
+    if (!overrides(update, entry.member))
         return;
     const std::uint64_t revision =
-        std::max(told.revision, entry.member.revision);
-    if (entry.member.state != told.state)
+        std::max(update.revision, entry.member.revision);
+    if (entry.member.state != update.state)
         entry.since = now;
-    entry.member = told;
+    entry.member = update;
     entry.member.revision = revision;
-    entry.tellings = tellings_now();
+    entry.sends_left = sends_per_update();
 }
 
 void
@@ -198,7 +199,7 @@
             continue;
         entry.member.state = MemberState::Suspect;
         entry.since = now;
-        entry.tellings = tellings_now();
+        entry.sends_left = sends_per_update();
     }
 }
 
@@ -206,21 +207,21 @@
 MemberTable::tick(TimePoint now)
 {
     for (auto& [id, entry] : m_members) {
-        const bool expired = now - entry.since >= m_rules.suspect_time;
-        const bool doubtful = entry.member.state == MemberState::Suspect ||
-                              entry.member.state == MemberState::Leaving;
-        if (!doubtful || !expired)
+        const bool expired = now - entry.since >= m_rules.suspect_timeout;
+        const bool can_expire = entry.member.state == MemberState::Suspect ||
+                                entry.member.state == MemberState::Leaving;
+        if (!can_expire || !expired)
             continue;
         // A leaving member still finishes its answers, but gets no requests;
         // after this time it counts as gone.
         entry.member.state = MemberState::Dead;
         entry.since = now;
-        entry.tellings = tellings_now();
+        entry.sends_left = sends_per_update();
     }
     std::erase_if(m_members, [&](const auto& item) {
         const Entry& entry = item.second;
         return entry.member.state == MemberState::Dead &&
-               now - entry.since >= m_rules.dead_memory;
+               now - entry.since >= m_rules.dead_retention;
     });
 }
 
@@ -229,7 +230,7 @@
 {
     std::vector<Member> result{m_self};
     for (const auto& [id, entry] : m_members)
-        if (may_be_spoken_to(entry.member))
+        if (is_live(entry.member))
             result.push_back(entry.member);
     return result;
 }
@@ -257,7 +258,7 @@
 {
     std::optional<Member> newest;
     for (const auto& [id, entry] : m_members) {
-        if (!may_be_spoken_to(entry.member))
+        if (!is_live(entry.member))
             continue;
         if (!newest || entry.member.revision > newest->revision)
             newest = entry.member;
--- a/src/libcrosslink/membership/member_table_test.cpp
+++ b/src/libcrosslink/membership/member_table_test.cpp
@@ -27,10 +27,10 @@
 }
 
 /// Members that exchange messages by calls instead of sockets.
-class TableFleet
+class InProcessFleet
 {
 public:
-    TableFleet()
+    InProcessFleet()
     {
         for (int i = 0; i < fleet_size; ++i) {
             m_tables.emplace_back(member(i), MembershipRules{});
@@ -103,7 +103,7 @@
 TEST_CASE(
     "members that know one seed find all others, and a dead one is removed")
 {
-    TableFleet fleet;
+    InProcessFleet fleet;
     REQUIRE(fleet.rounds_until([&] { return fleet.all_see(fleet_size); }, 60) >=
             0);
     fleet.down = 5;
@@ -113,7 +113,7 @@
 
 TEST_CASE("a revision reaches all members")
 {
-    TableFleet fleet;
+    InProcessFleet fleet;
     REQUIRE(fleet.rounds_until([&] { return fleet.all_see(fleet_size); }, 60) >=
             0);
     fleet.table(0).set_revision(7);
--- a/src/libcrosslink/membership/platform_availability.cpp
+++ b/src/libcrosslink/membership/platform_availability.cpp
@@ -14,10 +14,10 @@
 /// Shortest failure that counts as an outage. A connection that breaks or stops
 /// responding is replaced within this time; the platform is unreachable where
 /// that does not help. An instance retries 0.25 s after a failure.
-constexpr Micros least_away = std::chrono::milliseconds(1500);
+constexpr Micros min_outage = std::chrono::milliseconds(1500);
 /// Maximum number of recorded outages: the time limits that depend on them are
 /// some ten seconds, and no two outages begin within two seconds.
-constexpr std::size_t most_spans = 16;
+constexpr std::size_t max_outages = 16;
 
 Micros
 overlap(TimePoint from, TimePoint to, TimePoint span_from, TimePoint span_to)
@@ -38,10 +38,10 @@
 void
 PlatformAvailability::regained(TimePoint now)
 {
-    if (m_lost_at && now - *m_lost_at >= least_away) {
-        m_away.push_back({*m_lost_at, now + m_settle});
-        if (m_away.size() > most_spans)
-            m_away.pop_front();
+    if (m_lost_at && now - *m_lost_at >= min_outage) {
+        m_outages.push_back({*m_lost_at, now + m_settle});
+        if (m_outages.size() > max_outages)
+            m_outages.pop_front();
     }
     m_lost_at.reset();
 }
@@ -56,16 +56,17 @@
 Micros
 PlatformAvailability::available_time(TimePoint from, TimePoint now) const
 {
-    Micros away{0};
-    // Spans overlap where the next outage began before orders resumed.
+    Micros unavailable{0};
+    // Outages overlap where the next outage began before orders resumed.
     TimePoint end = from;
-    for (const Span& span : m_away) {
-        away += overlap(std::max(from, end), now, span.from, span.to);
-        end = std::max(end, span.to);
+    for (const Outage& outage : m_outages) {
+        unavailable +=
+            overlap(std::max(from, end), now, outage.from, outage.to);
+        end = std::max(end, outage.to);
     }
-    if (m_lost_at && now - *m_lost_at >= least_away)
-        away += overlap(std::max(from, end), now, *m_lost_at, now);
-    return now - from - away;
+    if (m_lost_at && now - *m_lost_at >= min_outage)
+        unavailable += overlap(std::max(from, end), now, *m_lost_at, now);
+    return now - from - unavailable;
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/membership/settled_members.cpp
+++ b/src/libcrosslink/membership/settled_members.cpp
@@ -17,7 +17,7 @@
 
 /// Maximum number of keys with a cached rank; limited since runners come and go
 /// under new ids.
-constexpr std::size_t most_standings = 4096;
+constexpr std::size_t max_cached_ranks = 4096;
 
 } // namespace
 
@@ -25,7 +25,7 @@
 SettledMembers::listed(const InstanceInfo& instance, TimePoint now)
 {
     expire(now);
-    changed();
+    invalidate();
     const auto [found, is_new] = m_members.try_emplace(instance.name);
     Member& member = found->second;
     if (is_new || member.gone_at)
@@ -41,7 +41,7 @@
     if (found == m_members.end() || found->second.gone_at)
         return;
     found->second.gone_at = now;
-    changed();
+    invalidate();
 }
 
 void
@@ -83,13 +83,13 @@
     const auto found = m_counts.find(zone);
     if (found != m_counts.end() && found->second.valid.holds(now))
         return found->second.members;
-    const Count counted{work_out_count(zone, now), validity(now)};
+    const Count counted{compute_count(zone, now), validity(now)};
     m_counts.insert_or_assign(std::string(zone), counted);
     return counted.members;
 }
 
 std::size_t
-SettledMembers::work_out_count(std::string_view zone, TimePoint now) const
+SettledMembers::compute_count(std::string_view zone, TimePoint now) const
 {
     const bool any_zone = !has_any(zone, now);
     return static_cast<std::size_t>(std::count_if(
@@ -101,50 +101,50 @@
 
 bool
 SettledMembers::has_share(std::string_view name, std::string_view key,
-                          std::string_view zone, std::size_t most,
+                          std::string_view zone, std::size_t max_instances,
                           TimePoint now) const
 {
-    return standing(name, key, zone, now).before < most;
+    return rank(name, key, zone, now).ahead < max_instances;
 }
 
-const SettledMembers::Standing&
-SettledMembers::standing(std::string_view name, std::string_view key,
-                         std::string_view zone, TimePoint now) const
+const SettledMembers::Rank&
+SettledMembers::rank(std::string_view name, std::string_view key,
+                     std::string_view zone, TimePoint now) const
 {
-    const auto found = m_standings.find(key);
-    const bool holds =
-        found != m_standings.end() && found->second.name == name &&
-        found->second.zone == zone && found->second.valid.holds(now);
+    const auto found = m_ranks.find(key);
+    const bool holds = found != m_ranks.end() && found->second.name == name &&
+                       found->second.zone == zone &&
+                       found->second.valid.holds(now);
     if (holds)
         return found->second;
-    if (m_standings.size() >= most_standings)
-        m_standings.clear();
-    return m_standings
-        .insert_or_assign(std::string(key), work_out(name, key, zone, now))
+    if (m_ranks.size() >= max_cached_ranks)
+        m_ranks.clear();
+    return m_ranks
+        .insert_or_assign(std::string(key), compute_rank(name, key, zone, now))
         .first->second;
 }
 
-SettledMembers::Standing
-SettledMembers::work_out(std::string_view name, std::string_view key,
-                         std::string_view zone, TimePoint now) const
+SettledMembers::Rank
+SettledMembers::compute_rank(std::string_view name, std::string_view key,
+                             std::string_view zone, TimePoint now) const
 {
-    Standing standing{std::string(name), std::string(zone),
-                      std::numeric_limits<std::size_t>::max(), validity(now)};
+    Rank rank{std::string(name), std::string(zone),
+              std::numeric_limits<std::size_t>::max(), validity(now)};
     const auto own = m_members.find(name);
     if (own == m_members.end() || own->second.gone_at ||
         now < own->second.since + m_settle)
-        return standing;
+        return rank;
     const bool any_zone = !has_any(zone, now);
     if (!any_zone && own->second.zone != zone)
-        return standing;
+        return rank;
     const std::uint64_t own_weight = rendezvous_weight(key, name);
-    standing.before = static_cast<std::size_t>(std::count_if(
+    rank.ahead = static_cast<std::size_t>(std::count_if(
         m_members.begin(), m_members.end(), [&](const auto& item) {
             return (any_zone || item.second.zone == zone) &&
                    counts(item.second, now) &&
                    rendezvous_weight(key, item.first) > own_weight;
         }));
-    return standing;
+    return rank;
 }
 
 /// Returns the period in which results computed at `now` are valid.
@@ -163,10 +163,10 @@
 
 /// Clears the results computed from the members before they changed.
 void
-SettledMembers::changed()
+SettledMembers::invalidate()
 {
     m_counts.clear();
-    m_standings.clear();
+    m_ranks.clear();
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/route/cache_index.cpp
+++ b/src/libcrosslink/route/cache_index.cpp
@@ -7,17 +7,17 @@
 {
 
 void
-CacheIndex::set_capacity(std::size_t most_keys)
+CacheIndex::set_capacity(std::size_t max_keys)
 {
-    m_most_keys = most_keys;
+    m_max_keys = max_keys;
     shrink();
 }
 
 void
 CacheIndex::shrink()
 {
-    while (m_places.size() > m_most_keys) {
-        m_places.erase(m_order.front());
+    while (m_positions.size() > m_max_keys) {
+        m_positions.erase(m_order.front());
         m_order.pop_front();
     }
 }
@@ -25,21 +25,21 @@
 void
 CacheIndex::add(std::uint64_t key)
 {
-    if (m_places.contains(key))
+    if (m_positions.contains(key))
         return;
     m_order.push_back(key);
-    m_places.emplace(key, std::prev(m_order.end()));
+    m_positions.emplace(key, std::prev(m_order.end()));
     shrink();
 }
 
 void
 CacheIndex::remove(std::uint64_t key)
 {
-    const auto found = m_places.find(key);
-    if (found == m_places.end())
+    const auto found = m_positions.find(key);
+    if (found == m_positions.end())
         return;
     m_order.erase(found->second);
-    m_places.erase(found);
+    m_positions.erase(found);
 }
 
 bool
@@ -80,7 +80,7 @@
 CacheIndex::prefix(std::span<const Digest> keys) const
 {
     std::size_t count = 0;
-    while (count < keys.size() && m_places.contains(keys[count].prefix()))
+    while (count < keys.size() && m_positions.contains(keys[count].prefix()))
         ++count;
     return count;
 }
@@ -90,7 +90,7 @@
 {
     m_sequence = 0;
     m_order.clear();
-    m_places.clear();
+    m_positions.clear();
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/route/engine_table.cpp
+++ b/src/libcrosslink/route/engine_table.cpp
@@ -12,12 +12,12 @@
 namespace
 {
 
-constexpr Micros leaving_mark = std::chrono::seconds(30);
+constexpr Micros leaving_mark_time = std::chrono::seconds(30);
 constexpr Micros first_ejection = std::chrono::milliseconds(500);
-constexpr std::uint32_t most_doublings = 5;
+constexpr std::uint32_t max_doublings = 5;
 /// Maximum number of keys in the cache indexes of all engines together, about
 /// 80 bytes each; the more engines there are, the fewer are kept of each.
-constexpr std::size_t most_believed_keys = 131'072;
+constexpr std::size_t max_index_keys = 131'072;
 
 bool
 holds(const ResidentModel& resident, std::string_view model,
@@ -32,11 +32,11 @@
 
 /// Removes the tokens of a run whose prompt no longer waits.
 void
-forget_tokens(EngineEntry& entry, std::string_view run_id)
+remove_tokens(EngineEntry& entry, std::string_view run_id)
 {
-    const auto found = entry.own_tokens.find(run_id);
-    if (found != entry.own_tokens.end())
-        entry.own_tokens.erase(found);
+    const auto found = entry.own_tokens_by_run.find(run_id);
+    if (found != entry.own_tokens_by_run.end())
+        entry.own_tokens_by_run.erase(found);
 }
 
 } // namespace
@@ -52,7 +52,7 @@
 EngineEntry::own_waiting_tokens() const
 {
     std::uint64_t sum = 0;
-    for (const auto& [run_id, tokens] : own_tokens)
+    for (const auto& [run_id, tokens] : own_tokens_by_run)
         sum += tokens;
     return sum;
 }
@@ -82,7 +82,7 @@
         entry.address = engine.address;
         entry.zone = engine.zone;
         if (engine.leaving)
-            mark_leaving(engine.address, now + leaving_mark);
+            mark_leaving(engine.address, now + leaving_mark_time);
     }
     std::erase_if(m_entries, [&listed](const auto& item) {
         return std::none_of(listed.begin(), listed.end(),
@@ -92,7 +92,7 @@
     });
     if (m_entries.empty())
         return;
-    const std::size_t share = most_believed_keys / m_entries.size();
+    const std::size_t share = max_index_keys / m_entries.size();
     for (auto& [address, entry] : m_entries)
         entry.cache.set_capacity(share);
 }
@@ -142,7 +142,7 @@
     if (EngineEntry* entry = find(address)) {
         check_invariant(Invariant::LeavingGetsNoWork,
                         now >= entry->leaving_until);
-        entry->own_tokens.emplace(std::string(run_id), tokens);
+        entry->own_tokens_by_run.emplace(std::string(run_id), tokens);
         ++entry->own_running;
     }
 }
@@ -154,7 +154,7 @@
     EngineEntry* entry = find(address);
     if (!entry)
         return;
-    forget_tokens(*entry, run_id);
+    remove_tokens(*entry, run_id);
     entry->cache.expect(keys);
 }
 
@@ -164,7 +164,7 @@
     EngineEntry* entry = find(address);
     if (!entry)
         return;
-    forget_tokens(*entry, run_id);
+    remove_tokens(*entry, run_id);
     if (entry->own_running > 0)
         --entry->own_running;
 }
@@ -175,7 +175,7 @@
     EngineEntry* entry = find(address);
     if (!entry)
         return;
-    const std::uint32_t doublings = std::min(entry->failures, most_doublings);
+    const std::uint32_t doublings = std::min(entry->failures, max_doublings);
     ++entry->failures;
     entry->ejected_until = now + first_ejection * (1U << doublings);
 }
--- a/src/libcrosslink/route/link_table.cpp
+++ b/src/libcrosslink/route/link_table.cpp
@@ -13,10 +13,10 @@
 
 /// Assumed speed of an unknown link, in bytes per second: low enough that the
 /// first fetches are short ones, from which the real speed is measured.
-constexpr double first_guess = 200e6;
+constexpr double initial_speed = 200e6;
 /// Weight of the newest measurement.
-constexpr double learning_rate = 0.3;
-constexpr double slowest = 1e3;
+constexpr double smoothing_factor = 0.3;
+constexpr double min_speed = 1e3;
 
 } // namespace
 
@@ -26,7 +26,8 @@
     const auto found = m_links.find(store);
     if (found != m_links.end())
         return found->second;
-    return m_links.emplace(std::string(store), Link{first_guess}).first->second;
+    return m_links.emplace(std::string(store), Link{initial_speed})
+        .first->second;
 }
 
 void
@@ -40,7 +41,7 @@
                bool whole)
 {
     Link& entry = link(store);
-    const std::uint64_t shared = std::max(entry.bytes_in_flight, bytes);
+    const std::uint64_t in_flight = std::max(entry.bytes_in_flight, bytes);
     entry.bytes_in_flight -= std::min(entry.bytes_in_flight, bytes);
     if (!whole || took.count() <= 0)
         return;
@@ -49,10 +50,10 @@
     // fetch alone; half of their bytes are assumed to have been carried
     // meanwhile.
     const double carried =
-        static_cast<double>(bytes) + static_cast<double>(shared - bytes) / 2;
-    const double measured = std::max(carried / seconds(took), slowest);
+        static_cast<double>(bytes) + static_cast<double>(in_flight - bytes) / 2;
+    const double measured = std::max(carried / seconds(took), min_speed);
     entry.bytes_per_second +=
-        learning_rate * (measured - entry.bytes_per_second);
+        smoothing_factor * (measured - entry.bytes_per_second);
 }
 
 Micros
@@ -60,10 +61,10 @@
 {
     const auto found = m_links.find(store);
     if (found == m_links.end())
-        return from_seconds(static_cast<double>(bytes) / first_guess);
+        return from_seconds(static_cast<double>(bytes) / initial_speed);
     const Link& entry = found->second;
-    const auto ahead = static_cast<double>(entry.bytes_in_flight + bytes);
-    return from_seconds(ahead / entry.bytes_per_second);
+    const auto bytes_ahead = static_cast<double>(entry.bytes_in_flight + bytes);
+    return from_seconds(bytes_ahead / entry.bytes_per_second);
 }
 
 std::uint64_t
@@ -77,7 +78,7 @@
 LinkTable::speed(std::string_view store) const
 {
     const auto found = m_links.find(store);
-    return found == m_links.end() ? first_guess
+    return found == m_links.end() ? initial_speed
                                   : found->second.bytes_per_second;
 }
 
--- a/src/libcrosslink/route/router.cpp
+++ b/src/libcrosslink/route/router.cpp
@@ -26,12 +26,12 @@
 /// Time of a fetch in addition to its transfer: import, verification and their
 /// calls.
 constexpr Micros fetch_overhead = std::chrono::milliseconds(3);
-constexpr double slowest_prefill = 1.0;
+constexpr double min_prefill_rate = 1.0;
 
 double
 prefill_rate(const EngineEntry& engine)
 {
-    return std::max(engine.load.prefill_tokens_per_second, slowest_prefill);
+    return std::max(engine.load.prefill_tokens_per_second, min_prefill_rate);
 }
 
 Micros
@@ -110,8 +110,8 @@
 }
 
 std::vector<RouteChoice>::const_iterator
-by_affinity(const RouteRequest& request,
-            const std::vector<RouteChoice>& choices)
+highest_affinity(const RouteRequest& request,
+                 const std::vector<RouteChoice>& choices)
 {
     const std::string key =
         request.keys.empty() ? std::string() : request.keys.front().hex();
@@ -144,8 +144,8 @@
 }
 
 RouteChoice
-Router::price(const EngineEntry& engine, const LinkTable& links,
-              const RouteRequest& request) const
+Router::estimate(const EngineEntry& engine, const LinkTable& links,
+                 const RouteRequest& request) const
 {
     RouteChoice choice;
     choice.engine = engine.address;
@@ -182,17 +182,17 @@
             continue;
         if (!engine.has(request.model, request.version, request.adapter))
             continue;
-        choices.push_back(price(engine, links, request));
+        choices.push_back(estimate(engine, links, request));
     }
     if (choices.empty())
         return std::nullopt;
     switch (m_policy) {
     case RoutePolicy::RoundRobin:
-        return choices[m_turn++ % choices.size()];
+        return choices[m_next++ % choices.size()];
     case RoutePolicy::LeastLoad:
         return *least_loaded(engines, choices);
     case RoutePolicy::PrefixAffinity:
-        return *by_affinity(request, choices);
+        return *highest_affinity(request, choices);
     case RoutePolicy::Priced:
         break;
     }
--- a/src/libcrosslink/route/router_test.cpp
+++ b/src/libcrosslink/route/router_test.cpp
@@ -29,8 +29,8 @@
 }
 
 /// Two engines, a prompt of twenty blocks, and a store that has all of them.
-struct Scene {
-    Scene()
+struct RouterFixture {
+    RouterFixture()
     {
         const std::vector<ListedEngine> listed{{"one", "z", false},
                                                {"two", "z", false}};
@@ -68,9 +68,9 @@
 
 TEST_CASE("the engine that has the prefix is chosen")
 {
-    Scene scene;
-    scene.engines.find("two")->cache.expect(scene.keys);
-    const auto choice = scene.choose();
+    RouterFixture fixture;
+    fixture.engines.find("two")->cache.expect(fixture.keys);
+    const auto choice = fixture.choose();
     CHECK(choice->engine == "two");
     CHECK(choice->cached_blocks == blocks);
     CHECK(choice->compute_tokens == 0);
@@ -78,49 +78,50 @@
 
 TEST_CASE("a long queue outweighs a cached prefix")
 {
-    Scene scene;
-    scene.engines.find("two")->cache.expect(scene.keys);
-    scene.engines.update_load("two", load(100'000), now);
-    CHECK(scene.choose()->engine == "one");
+    RouterFixture fixture;
+    fixture.engines.find("two")->cache.expect(fixture.keys);
+    fixture.engines.update_load("two", load(100'000), now);
+    CHECK(fixture.choose()->engine == "one");
 }
 
 TEST_CASE("kept blocks are fetched where the link is faster than computing")
 {
-    Scene scene;
-    CHECK(scene.choose(true)->fetch_end == blocks);
+    RouterFixture fixture;
+    CHECK(fixture.choose(true)->fetch_end == blocks);
     // With a link that turned out to be slow, recomputing is faster.
     for (int i = 0; i < 30; ++i) {
-        scene.links.begin("s", 1'000'000);
-        scene.links.end("s", 1'000'000, std::chrono::seconds(1), true);
+        fixture.links.begin("s", 1'000'000);
+        fixture.links.end("s", 1'000'000, std::chrono::seconds(1), true);
     }
-    CHECK(scene.choose(true)->fetch_end == 0);
+    CHECK(fixture.choose(true)->fetch_end == 0);
 }
 
 TEST_CASE("no work goes to an engine that leaves or lacks the weights")
 {
-    Scene scene;
-    scene.engines.mark_leaving("one", now + std::chrono::seconds(5));
-    CHECK(scene.choose()->engine == "two");
+    RouterFixture fixture;
+    fixture.engines.mark_leaving("one", now + std::chrono::seconds(5));
+    CHECK(fixture.choose()->engine == "two");
     EngineLoad swapped = load();
     swapped.resident.front().version = "v2";
-    scene.engines.update_load("two", swapped, now);
-    CHECK_FALSE(scene.choose());
-    CHECK_THROWS_AS(scene.engines.sent("one", "r", 1, now), Error);
+    fixture.engines.update_load("two", swapped, now);
+    CHECK_FALSE(fixture.choose());
+    CHECK_THROWS_AS(fixture.engines.sent("one", "r", 1, now), Error);
 }
 
 TEST_CASE("a failing engine is excluded for a time, then tried again")
 {
-    Scene scene;
-    scene.engines.failed("one", now);
-    CHECK_FALSE(scene.engines.find("one")->takes_work(now));
-    CHECK(scene.engines.find("one")->takes_work(now + std::chrono::seconds(1)));
+    RouterFixture fixture;
+    fixture.engines.failed("one", now);
+    CHECK_FALSE(fixture.engines.find("one")->takes_work(now));
+    CHECK(
+        fixture.engines.find("one")->takes_work(now + std::chrono::seconds(1)));
 }
 
 TEST_CASE("own work that is in no report yet counts")
 {
-    Scene scene;
-    scene.engines.sent("one", "r", 50'000, now);
-    CHECK(scene.choose()->engine == "two");
+    RouterFixture fixture;
+    fixture.engines.sent("one", "r", 50'000, now);
+    CHECK(fixture.choose()->engine == "two");
 }
 
 } // namespace crosslink
