--- a/src/libcrosslink/membership/duty_lease_test.cpp
+++ b/src/libcrosslink/membership/duty_lease_test.cpp
@@ -58,8 +58,8 @@
     CHECK_FALSE(lease.held_within(grace, at(9401)));
 }
 
-TEST_CASE("actions of two holders are apart, whether the lease expired or was "
-          "released")
+TEST_CASE(
+    "actions of two holders are apart after an expired or a released lease")
 {
     constexpr Micros spacing = std::chrono::seconds(3);
     const Micros settle = DutyLease::takeover_delay(spacing, span);
--- a/src/libcrosslink/route/cache_index_test.cpp
+++ b/src/libcrosslink/route/cache_index_test.cpp
@@ -46,30 +46,29 @@
 
 TEST_CASE("repeated and overlapping events give the engine's own cache content")
 {
-    CHECK(
-        rc::check("the index equals the cache once all events are applied", [] {
-            const auto changes =
-                *rc::gen::container<std::vector<int>>(rc::gen::inRange(-5, 6));
-            std::vector<CacheEvent> log;
-            std::set<int> cached;
-            for (const int change : changes) {
-                const int number = change < 0 ? -change : change;
-                change < 0 ? (void)cached.erase(number)
-                           : (void)cached.insert(number);
-                log.push_back({log.size() + 1, key(number), change >= 0});
-            }
-            CacheIndex index;
-            while (index.sequence() < log.size()) {
-                const auto from =
-                    *rc::gen::inRange<std::size_t>(0, index.sequence() + 1);
-                const auto to = *rc::gen::inRange<std::size_t>(
-                    index.sequence() + 1, log.size() + 1);
-                RC_ASSERT(index.apply(std::span(log).subspan(from, to - from)));
-            }
-            for (int number = 0; number < 6; ++number)
-                RC_ASSERT((index.prefix(std::vector<Digest>{key(number)}) ==
-                           1) == cached.contains(number));
-        }));
+    CHECK(rc::check("the index equals the cache after all events", [] {
+        const auto changes =
+            *rc::gen::container<std::vector<int>>(rc::gen::inRange(-5, 6));
+        std::vector<CacheEvent> log;
+        std::set<int> cached;
+        for (const int change : changes) {
+            const int number = change < 0 ? -change : change;
+            change < 0 ? (void)cached.erase(number)
+                       : (void)cached.insert(number);
+            log.push_back({log.size() + 1, key(number), change >= 0});
+        }
+        CacheIndex index;
+        while (index.sequence() < log.size()) {
+            const auto from =
+                *rc::gen::inRange<std::size_t>(0, index.sequence() + 1);
+            const auto to = *rc::gen::inRange<std::size_t>(index.sequence() + 1,
+                                                           log.size() + 1);
+            RC_ASSERT(index.apply(std::span(log).subspan(from, to - from)));
+        }
+        for (int number = 0; number < 6; ++number)
+            RC_ASSERT((index.prefix(std::vector<Digest>{key(number)}) == 1) ==
+                      cached.contains(number));
+    }));
 }
 
 } // namespace crosslink
