--- a/src/include/crosslink/membership/change_log.h
+++ b/src/include/crosslink/membership/change_log.h
@@ -15,13 +15,13 @@
 {
 
 /// The platform's store as this instance knows it, with the latest changes,
-/// from which other instances learn them. The state never goes back: a page
-/// that does not continue at its revision is rejected.
+/// from which other instances learn them. The state never goes back: changes
+/// that do not continue from its revision are rejected.
 class ChangeLog
 {
 public:
     /// Applies a page. Returns false, and changes nothing, where the page does
-    /// not continue at revision() or is older than the known state.
+    /// not continue from revision() or is older than the known state.
     bool apply(const ChangePage& page);
     /// Returns the revision up to which the state is complete; nothing before
     /// the first snapshot.
--- a/src/include/crosslink/membership/holder_history.h
+++ b/src/include/crosslink/membership/holder_history.h
@@ -33,7 +33,7 @@
 
     /// Merges the history of another instance, which is complete since `from`
     /// and includes all changes that this instance knew of at its last
-    /// record_gap(). Ignored where that one is not complete for longer.
+    /// record_gap(). Ignored unless it is complete for longer.
     void learn(TimePoint from, std::span<const Ended> ended);
     /// Returns the time since when the history is complete.
     TimePoint from() const { return m_from; }
--- a/src/libcrosslink/claim/claim_committer_test.cpp
+++ b/src/libcrosslink/claim/claim_committer_test.cpp
@@ -21,7 +21,7 @@
 namespace
 {
 
-/// A platform on which each expected call is declared.
+/// A mock platform, which checks each call against the expected ones.
 class MockPlatform : public Platform
 {
 public:
