--- a/src/libcrosslink/claim/claim_committer.cpp
+++ b/src/libcrosslink/claim/claim_committer.cpp
@@ -12,9 +12,10 @@
 namespace
 {
 
-/// Lost races and lost answers that one commit rides out before it gives up.
-constexpr int max_rounds = 8;
-constexpr Micros come_back = std::chrono::seconds(1);
+/// Maximum number of attempts of one commit; each attempt that loses a race, or
+/// gets no answer, is followed by another.
+constexpr int max_attempts = 8;
+constexpr Micros retry_after = std::chrono::seconds(1);
 
 } // namespace
 
@@ -51,9 +52,10 @@
         const auto text =
             m_platform.read(claim_segment_key(slice, segment.name));
         if (!text)
-            // A later head no longer names it; the next round reads that one.
+            // A newer head no longer refers to the segment; the next attempt
+            // reads that head.
             throw Error(ErrorCode::PlatformOutcomeUnknown,
-                        "a segment of claims went away while reading");
+                        "a claim segment was removed while its slice was read");
         segments[segment.name] = claims_from_json(text->value);
     }
     view = ClaimSlice(record->version, std::move(head), std::move(segments));
@@ -83,17 +85,18 @@
     const SwapOutcome outcome = m_platform.write_if(
         claim_head_key(slice), proposal.head.to_json(), before.version());
     if (!outcome.applied) {
-        remove_orphan(slice, proposal, before.version());
+        remove_orphaned_segment(slice, proposal, before.version());
         return false;
     }
     m_views.at(slice) = before.after(proposal, outcome.version);
-    remove_dropped(slice, before, *m_views.at(slice));
+    remove_unused_segments(slice, before, *m_views.at(slice));
     return true;
 }
 
 void
-ClaimCommitter::remove_dropped(std::uint32_t slice, const ClaimSlice& before,
-                               const ClaimSlice& after)
+ClaimCommitter::remove_unused_segments(std::uint32_t slice,
+                                       const ClaimSlice& before,
+                                       const ClaimSlice& after)
 {
     for (const auto& [name, claims] : before.segments())
         if (!after.segments().contains(name))
@@ -101,9 +104,9 @@
 }
 
 void
-ClaimCommitter::remove_orphan(std::uint32_t slice,
-                              const ClaimSlice::Proposal& proposal,
-                              std::uint64_t expected)
+ClaimCommitter::remove_orphaned_segment(std::uint32_t slice,
+                                        const ClaimSlice::Proposal& proposal,
+                                        std::uint64_t expected)
 {
     if (proposal.moved.empty())
         return;
@@ -126,7 +129,7 @@
     try {
         m_platform.remove_if(claim_segment_key(slice, name), 1);
     } catch (const Error&) {
-        // Left behind it costs room and nothing else.
+        // A segment that is left behind only takes up space.
         return;
     }
 }
@@ -135,10 +138,10 @@
 ClaimCommitter::commit(std::uint32_t slice, std::span<const Claim> batch,
                        std::span<const std::string> releases, UnixMillis now)
 {
-    // A claim that is given back may have been committed by another instance,
-    // so it is looked for in what is in place now.
+    // A claim to be released may have been committed by another instance, so
+    // the present state of the slice is read first.
     bool stale = !releases.empty();
-    for (int round = 0; round < max_rounds; ++round) {
+    for (int attempt = 0; attempt < max_attempts; ++attempt) {
         try {
             View& view = m_views.at(slice);
             if (!view || stale)
@@ -150,20 +153,20 @@
                 continue;
             return verdicts_on(*view, batch);
         } catch (const Error& failure) {
-            // Known or not, what is in place is read afresh before the next
-            // decision: the view is worth nothing now.
+            // Whether or not the outcome is known, the view may be out of date
+            // now: the slice is read again before the next decision.
             m_views.at(slice).reset();
             if (failure.code() == ErrorCode::PlatformOutcomeUnknown)
                 continue;
             throw Error(ErrorCode::ClaimUnavailable,
                         std::string("claims can't be committed: ") +
                             failure.what(),
-                        RunState::NotDispatched, come_back);
+                        RunState::NotDispatched, retry_after);
         }
     }
     throw Error(ErrorCode::ClaimUnavailable,
                 "claims can't be committed: too many lost races",
-                RunState::NotDispatched, come_back);
+                RunState::NotDispatched, retry_after);
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/route/cache_index_test.cpp
+++ b/src/libcrosslink/route/cache_index_test.cpp
@@ -32,7 +32,7 @@
     CHECK(index.sequence() == 3);
 }
 
-TEST_CASE("beyond its capacity the ends of older prompts go first")
+TEST_CASE("beyond its capacity the ends of older prompts are removed first")
 {
     CacheIndex index;
     const std::vector<Digest> prompt{key(1), key(2), key(3)};
@@ -44,9 +44,9 @@
     CHECK(index.prefix(prompt) == 1);
 }
 
-TEST_CASE("doubled and overlapping events give the engine's own picture")
+TEST_CASE("repeated and overlapping events give the engine's own cache content")
 {
-    CHECK(rc::check("the belief is the cache once all events are in", [] {
+    CHECK(rc::check("the index equals the cache after all events", [] {
         const auto changes =
             *rc::gen::container<std::vector<int>>(rc::gen::inRange(-5, 6));
         std::vector<CacheEvent> log;
