--- a/src/include/crosslink/authenticate/authenticator.h
+++ b/src/include/crosslink/authenticate/authenticator.h
@@ -13,7 +13,7 @@
 /// Returns the client account whose API key the Authorization header carries
 /// ("Bearer <key>", RFC 6750). The account lives as long as `configuration`.
 /// Throws Error with MissingKey or UnknownKey. Only hashes are compared, so
-/// that the time taken tells nothing of the keys.
+/// that timing reveals nothing about the keys.
 const ClientAccount& authenticate(const Configuration& configuration,
                                   std::string_view authorization);
 
--- a/src/include/crosslink/base/bounded_ring.h
+++ b/src/include/crosslink/base/bounded_ring.h
@@ -12,8 +12,9 @@
 namespace crosslink
 {
 
-/// A first-in first-out ring of fixed capacity that joins two threads. A full
-/// ring refuses at once rather than growing; a closed one drains and ends.
+/// A first-in first-out ring buffer of fixed capacity between two threads. A
+/// full ring rejects an item at once rather than growing. A closed one rejects
+/// further items and still returns those that wait.
 template<typename T> class BoundedRing
 {
 public:
@@ -33,7 +34,7 @@
         return true;
     }
 
-    /// Waits for an item. Returns nothing once closed and drained.
+    /// Waits for an item. Returns nothing once the ring is closed and empty.
     std::optional<T> pop()
     {
         std::unique_lock lock(m_mutex);
@@ -41,7 +42,8 @@
         return take();
     }
 
-    /// Waits for an item for at most `wait`. Returns nothing where none came.
+    /// Waits for an item for at most `wait`. Returns nothing where none
+    /// arrived.
     template<typename Duration> std::optional<T> pop_for(Duration wait)
     {
         std::unique_lock lock(m_mutex);
@@ -50,21 +52,21 @@
         return take();
     }
 
-    /// Returns whether the ring was closed and is drained.
+    /// Returns whether the ring is closed and empty.
     bool ended()
     {
         const std::lock_guard lock(m_mutex);
         return m_closed && m_items.empty();
     }
 
-    /// Takes an item if one is waiting.
+    /// Removes and returns the first item; nothing where the ring is empty.
     std::optional<T> try_pop()
     {
         const std::lock_guard lock(m_mutex);
         return take();
     }
 
-    /// Refuses further items and lets pop() return once drained.
+    /// Rejects further items; pop() returns nothing once the ring is empty.
     void close()
     {
         {
@@ -75,7 +77,7 @@
     }
 
 private:
-    /// Takes the first item, if there is one. The mutex is held.
+    /// As try_pop(), with the mutex held by the caller.
     std::optional<T> take()
     {
         if (m_items.empty())
--- a/src/include/crosslink/base/digest.h
+++ b/src/include/crosslink/base/digest.h
@@ -21,7 +21,8 @@
     auto operator<=>(const Digest&) const = default;
     /// Returns 64 lower-case hexadecimal digits.
     std::string hex() const;
-    /// Reads 64 hexadecimal digits. Throws Error(BadRequest) on others.
+    /// Parses 64 hexadecimal digits. Throws Error(BadRequest) for any other
+    /// text.
     static Digest from_hex(std::string_view text);
     /// Returns the first eight bytes as a number, for hashing and sharding.
     std::uint64_t prefix() const;
--- a/src/include/crosslink/base/error.h
+++ b/src/include/crosslink/base/error.h
@@ -15,8 +15,8 @@
 namespace crosslink
 {
 
-/// Every way in which crosslink fails. `docs/OPERATIONS.md` says for each one
-/// what it means and what to do.
+/// The error codes of crosslink. `docs/OPERATIONS.md` says for each one what it
+/// means and what to do.
 enum class ErrorCode {
     BadJson,
     BadRequest,
@@ -64,7 +64,7 @@
 struct ErrorInfo {
     ErrorCode code;
     std::string_view name; ///< The name on the wire and in logs.
-    int http_status;       ///< The status a caller is answered with.
+    int http_status;       ///< The status of the answer to a caller.
 };
 
 /// Returns the table of all error codes, in the order of the enumeration.
@@ -74,21 +74,21 @@
 /// Returns the HTTP status of `code`.
 int error_status(ErrorCode code);
 
-/// The one exception type of crosslink. It carries what a caller must know:
-/// which failure, whether the request ran, and when to come back.
+/// The one exception type of crosslink. It carries what a caller must know: the
+/// error code, whether the request ran, and when to retry.
 class Error : public std::runtime_error
 {
 public:
-    /// `detail` is for people and never holds a key or a prompt.
+    /// `detail` is a text for people, and never contains a key or a prompt.
     Error(ErrorCode code, const std::string& detail,
           RunState run_state = RunState::NotDispatched,
           std::optional<Micros> retry_after = std::nullopt);
 
     ErrorCode code() const { return m_code; }
     RunState run_state() const { return m_run_state; }
-    /// When a new try makes sense; empty when none does.
+    /// Time until a retry makes sense; empty where none does.
     std::optional<Micros> retry_after() const { return m_retry_after; }
-    /// Returns this error with another run state.
+    /// Returns a copy with another run state.
     Error with_run_state(RunState state) const;
 
 private:
--- a/src/include/crosslink/base/invariants.h
+++ b/src/include/crosslink/base/invariants.h
@@ -11,15 +11,15 @@
 namespace crosslink
 {
 
-/// The promises that the running program checks for itself, also in release
-/// builds. `docs/PROMISES.md` has a row for each.
+/// Invariants that the running program checks, also in release builds.
+/// `docs/PROMISES.md` has a row for each.
 enum class Invariant {
-    ClaimBeforeDispatch,  ///< No unrepeatable call leaves without its claim.
-    NotRunIsTrue,         ///< "Not run" is only said of what did not run.
+    ClaimBeforeDispatch,  ///< No non-idempotent call is sent unclaimed.
+    NotRunIsTrue,         ///< Only what did not run is reported as "not run".
     AnswerMatchesRequest, ///< No frame of another attempt is relayed.
     SealedBlocksOnly,     ///< No unsealed, freed or changed block is used.
-    BlockIdentity,        ///< No block crosses an account or weight version.
-    RevisionNeverReverts, ///< The revision in force only grows.
+    BlockIdentity, ///< No block is shared across accounts or weight versions.
+    RevisionNeverReverts, ///< The revision in force never decreases.
     LeavingGetsNoWork,    ///< No new work for an upstream marked as leaving.
     Count_,               ///< Number of invariants.
 };
@@ -27,15 +27,15 @@
 /// Returns the name of `invariant` in metrics and logs.
 std::string_view invariant_name(Invariant invariant);
 
-/// Counts the broken invariants of this process. Safe for many threads.
+/// Counts the violations of invariants in this process. Thread-safe.
 class InvariantCounters
 {
 public:
     /// The counters of this process.
     static InvariantCounters& instance();
-    /// Counts one breach.
+    /// Counts one violation.
     void breached(Invariant invariant);
-    /// Returns how often `invariant` was breached since the start.
+    /// Returns how often `invariant` was violated since the start.
     std::uint64_t count(Invariant invariant) const;
 
 private:
@@ -44,8 +44,8 @@
         m_counts{};
 };
 
-/// Checks `holds`; a breach is counted and reported by throwing
-/// Error(Internal), which stops the harm: the caller's step is not done.
+/// Where `holds` is false, counts a violation and throws Error(Internal), so
+/// that the caller does not take the step that would do harm.
 void check_invariant(Invariant invariant, bool holds);
 
 } // namespace crosslink
--- a/src/include/crosslink/base/json.h
+++ b/src/include/crosslink/base/json.h
@@ -16,25 +16,25 @@
 {
 
 /// Parses `text` strictly (no comments, no duplicate fields, bounded depth).
-/// Throws Error(BadJson) naming the place.
+/// Throws Error(BadJson) with the position of the error.
 Json::Value parse_json(std::string_view text);
-/// Returns `value` on one line, without blanks.
+/// Returns `value` on one line, without spaces between tokens.
 std::string json_text(const Json::Value& value);
-/// Returns `value` indented, for people.
+/// Returns `value` on several indented lines, for people.
 std::string json_pretty(const Json::Value& value);
 
 /// Returns the string field `name`, or `fallback` where it is absent or is
 /// not a string.
 std::string json_string(const Json::Value& object, const char* name,
                         const std::string& fallback = {});
-/// Returns the whole-number field `name`, or `fallback`.
+/// Returns the field `name` as an unsigned integer of 64 bits, or `fallback`.
 std::uint64_t json_uint64(const Json::Value& object, const char* name,
                           std::uint64_t fallback = 0);
-/// Returns the whole-number field `name` as one of 32 bits, or `fallback`. Of
-/// a larger number the lowest 32 bits are taken.
+/// Returns the field `name` as an unsigned integer of 32 bits, or `fallback`. A
+/// larger number is cut to its lowest 32 bits.
 std::uint32_t json_uint32(const Json::Value& object, const char* name,
                           std::uint32_t fallback = 0);
-/// Returns the field `name` in microseconds, or none.
+/// Returns the field `name`, an integer of microseconds, or 0.
 Micros json_span(const Json::Value& object, const char* name);
 /// Returns the number field `name`, or `fallback`.
 double json_double(const Json::Value& object, const char* name,
@@ -43,7 +43,7 @@
 bool json_bool(const Json::Value& object, const char* name,
                bool fallback = false);
 
-/// Returns an array of what `form` makes of each of `items`.
+/// Returns an array with the result of `form` for each of `items`.
 template<typename Items, typename Form>
 Json::Value
 json_list(const Items& items, const Form& form)
@@ -54,7 +54,7 @@
     return list;
 }
 
-/// Returns what `read` makes of each item of the array `list`; nothing where
+/// Returns the result of `read` for each item of the array `list`; empty where
 /// that is absent.
 template<typename Read>
 auto
@@ -66,14 +66,14 @@
     return items;
 }
 
-/// Returns an array of `texts`.
+/// Returns an array of strings.
 template<typename Texts>
 Json::Value
 json_strings(const Texts& texts)
 {
     return json_list(texts, [](const std::string& text) { return text; });
 }
-/// Returns the texts of the array `list`.
+/// Returns the strings of the array `list`.
 std::vector<std::string> strings_from_json(const Json::Value& list);
 
 } // namespace crosslink
--- a/src/include/crosslink/base/number.h
+++ b/src/include/crosslink/base/number.h
@@ -16,7 +16,7 @@
 namespace pvt
 {
 
-/// A number that a text begins with, and what follows it.
+/// The number at the beginning of a text, and the text after it.
 template<std::integral Number> struct NumberAndRest {
     Number number{};
     std::string_view rest;
@@ -37,8 +37,8 @@
 
 } // namespace pvt
 
-/// Returns the decimal number that `text` begins with, whatever follows it;
-/// nothing where it begins with none, or with one that Number can't hold.
+/// Returns the decimal integer at the beginning of `text`, whatever follows it;
+/// nothing where there is none, or one out of the range of Number.
 template<std::integral Number>
 std::optional<Number>
 parse_leading_integer(std::string_view text)
@@ -47,8 +47,8 @@
     return found ? std::optional(found->number) : std::nullopt;
 }
 
-/// Returns the decimal number that `text` is; nothing where it is none, or
-/// one that Number can't hold.
+/// Returns the decimal integer that `text` consists of; nothing where it is
+/// none, or out of the range of Number.
 template<std::integral Number>
 std::optional<Number>
 parse_integer(std::string_view text)
@@ -58,8 +58,8 @@
                                         : std::nullopt;
 }
 
-/// Returns the finite number of at least 0 that `text` is in decimal notation;
-/// nothing where it is none.
+/// Returns the finite number of at least 0 that `text` consists of, in decimal
+/// notation without exponent; nothing for any other text.
 inline std::optional<double>
 decimal_number(std::string_view text)
 {
@@ -73,7 +73,7 @@
     return number;
 }
 
-/// Returns `text` without the spaces that it begins with.
+/// Returns `text` without leading spaces.
 inline std::string_view
 without_leading_spaces(std::string_view text)
 {
@@ -82,7 +82,7 @@
     return text;
 }
 
-/// Returns `text` without the spaces that it begins and ends with.
+/// Returns `text` without leading and trailing spaces.
 inline std::string_view
 without_outer_spaces(std::string_view text)
 {
--- a/src/include/crosslink/base/retry_after.h
+++ b/src/include/crosslink/base/retry_after.h
@@ -13,9 +13,9 @@
 namespace crosslink
 {
 
-/// Returns the time that a Retry-After field (RFC 9110, 10.2.3) names in
-/// seconds, fractions included, and at most a day. Nothing for what can't be
-/// read, and for a date: the clocks of machines differ by seconds.
+/// Parses a Retry-After field (RFC 9110, 10.2.3) in seconds, which may have a
+/// fraction. Returns at most a day; nothing for a malformed field, and for a
+/// date, since the clocks of machines differ by seconds.
 inline std::optional<Micros>
 retry_after_time(std::string_view text)
 {
--- a/src/include/crosslink/base/time.h
+++ b/src/include/crosslink/base/time.h
@@ -9,8 +9,8 @@
 namespace crosslink
 {
 
-/// The clock of the core. It has no now(): the time is always handed in by
-/// the layer round the core, so that a decision is a function of its inputs.
+/// The clock type of the core. It has no now(): the layer around the core
+/// always passes the time in, so that a decision is a function of its inputs.
 struct CoreClock {
     using duration = std::chrono::microseconds;
     using rep = duration::rep;
@@ -19,7 +19,7 @@
     static constexpr bool is_steady = true;
 };
 
-/// A monotonic instant; only differences mean anything.
+/// A point of a monotonic clock; only differences are meaningful.
 using TimePoint = CoreClock::time_point;
 /// A span of time in microseconds.
 using Micros = std::chrono::microseconds;
--- a/src/include/crosslink/configuration/client_account.h
+++ b/src/include/crosslink/configuration/client_account.h
@@ -22,12 +22,12 @@
     std::vector<std::string> adapters; ///< Adapters it may name; may be empty.
 };
 
-/// How much a client account may take, over all instances together.
+/// Limits of a client account, over all instances together.
 struct AccountLimits {
     double requests_per_second = 10;      ///< 0.01 to 100,000.
     double tokens_per_second = 10'000;    ///< Prompt and output; 1 to 10^9.
     std::uint32_t concurrent = 32;        ///< Requests at once; 1 to 100,000.
-    std::uint64_t kept_bytes = 1U << 30U; ///< Kept KV in the stores.
+    std::uint64_t kept_bytes = 1U << 30U; ///< KV kept in the stores.
 };
 
 /// A call of a plain service that may run at most once.
@@ -39,48 +39,50 @@
 /// A plain service that a client account reaches through crosslink.
 struct PlainServiceGrant {
     std::string service;     ///< Name in the platform's list.
-    std::string path_prefix; ///< Paths that go to it; begins with '/'.
+    std::string path_prefix; ///< Paths routed to it; begins with '/'.
     std::vector<NotRepeatable> not_repeatable;
 };
 
 /// The split of a call class between the new fleet and the old servers.
 struct TrafficSplit {
     std::string call_class;  ///< "completions" or a plain service's name.
-    std::string old_service; ///< Plain service that stands for the old ones.
-    std::uint32_t new_share = 100; ///< Callers in 100 on the new fleet.
+    std::string old_service; ///< Plain service that represents the old servers.
+    std::uint32_t new_share = 100; ///< Percentage of callers on the new fleet.
 };
 
-/// What to do with an idempotency key that does not carry its own time.
+/// What to do with an idempotency key that carries no timestamp.
 enum class UndatedKeyPolicy {
-    Refuse,   ///< Answer `undated_key`, not run. Safe for ever; the default.
-    Remember, ///< Take it; at most once only within the claims' age limit.
+    Refuse,   ///< Answer `undated_key`, not run. Always safe; the default.
+    Remember, ///< Accept it; at most once only within the claims' age limit.
 };
 
 /// Service-level objectives of a client account.
 struct Objectives {
     Micros first_token = std::chrono::seconds(2);
     Micros between_tokens = std::chrono::milliseconds(43);
-    double target_share = 0.95;    ///< Share that must be within; 0 to 1.
-    double answered_share = 0.999; ///< Share that must get a whole answer.
+    double target_share = 0.95; ///< Share that must meet each latency; 0 to 1.
+    double answered_share = 0.999; ///< Share that must get a complete answer.
 };
 
 /// What a template with its parameters grants. Accounts with the same template
-/// and parameters share one.
+/// and parameters share one object.
 struct AccountPolicy {
     std::vector<ModelGrant> models;
     std::vector<PlainServiceGrant> plain_services;
     std::vector<TrafficSplit> splits;
     std::uint32_t priority = 5; ///< 0 (last) to 9 (first).
-    double weight = 1;          ///< Share under contention; 0.01 to 1,000.
+    double weight = 1; ///< Relative share under contention; 0.01 to 1,000.
     AccountLimits limits;
     Objectives objectives;
     UndatedKeyPolicy undated_keys = UndatedKeyPolicy::Refuse;
 
     /// Returns the grant for `model`, or null where it has none.
     const ModelGrant* grant_for(std::string_view model) const;
-    /// Returns the plain service whose longest prefix fits `path`, or null.
+    /// Returns the plain service with the longest prefix that matches `path`,
+    /// or null.
     const PlainServiceGrant* service_for(std::string_view path) const;
-    /// Returns the split of `call_class`, or null where all of it is new.
+    /// Returns the split of `call_class`, or null where all callers go to the
+    /// new fleet.
     const TrafficSplit* split_for(std::string_view call_class) const;
 };
 
@@ -91,13 +93,13 @@
     std::shared_ptr<const AccountPolicy> policy; ///< Never null.
 };
 
-/// True where `service` marks this call as not to be repeated.
+/// Returns whether `service` declares that this call may run at most once.
 bool is_not_repeatable(const PlainServiceGrant& service,
                        std::string_view method, std::string_view path);
 
-/// True where the caller named by `caller` goes to the new fleet. The same
-/// caller always gets the same side, and raising the share only moves callers
-/// from the old servers to the new fleet.
+/// Returns whether `caller` is routed to the new fleet. The result for a caller
+/// is stable, and raising the share only moves callers from the old servers to
+/// the new fleet.
 bool goes_to_new_fleet(const TrafficSplit& split, std::string_view caller);
 
 } // namespace crosslink
--- a/src/include/crosslink/configuration/configuration.h
+++ b/src/include/crosslink/configuration/configuration.h
@@ -21,13 +21,13 @@
 using PartTexts = std::map<Digest, std::shared_ptr<const std::string>>;
 
 /// One revision of the operators' declarations, ready for use. Immutable, so
-/// that a request works with one revision from its start to its end.
+/// that a request uses one revision from its start to its end.
 class Configuration
 {
 public:
     /// Builds the configuration that `head` names. `texts` must hold each of
     /// its parts. Throws Error(TemplateInvalid) where a part is missing, does
-    /// not fit its digest, or has mistakes.
+    /// not match its digest, or has mistakes.
     Configuration(ConfigurationHead head, const PartTexts& texts);
 
     const ConfigurationHead& head() const { return m_head; }
--- a/src/include/crosslink/configuration/configuration_commit.h
+++ b/src/include/crosslink/configuration/configuration_commit.h
@@ -14,7 +14,8 @@
 namespace crosslink
 {
 
-/// The head of the configuration with the version of its record.
+/// The head of the configuration with the version of its record at the
+/// platform.
 struct HeadRecord {
     ConfigurationHead head;    ///< Revision 0 before the first apply.
     std::uint64_t version = 0; ///< 0: there is no record.
@@ -23,11 +24,12 @@
 /// Reads the head from the platform.
 HeadRecord read_head(Platform& platform);
 
-/// Writes the parts, then swaps the head from `base` to one that names them.
-/// The swap alone puts the change in force, so half of it can't be seen.
-/// Returns the new head. Throws Error(RevisionConflict) where another change
-/// was faster; nothing of this one is in force then. A lost answer is settled
-/// by reading back for `change.change_id`.
+/// Writes the parts, then replaces the head `base` by one that names them, by
+/// compare and swap. Only the swap puts the change in force, so that a partial
+/// change is never visible. Returns the new head. Throws
+/// Error(RevisionConflict) where another change was committed first; nothing of
+/// this one is in force then. Where an answer is lost, the head is read back
+/// and searched for `change.change_id`.
 ConfigurationHead
 commit_configuration(Platform& platform, const HeadRecord& base,
                      const std::map<std::string, std::string>& parts,
--- a/src/include/crosslink/configuration/configuration_head.h
+++ b/src/include/crosslink/configuration/configuration_head.h
@@ -18,13 +18,13 @@
 /// One accepted change, kept in the head for `template history`.
 struct ConfigurationChange {
     std::uint64_t revision = 0;
-    std::string change_id; ///< Chosen by the operator's tool, unique.
-    std::string author;    ///< Who applied it, as the tool was told.
+    std::string change_id; ///< Unique; set by the operator's tool.
+    std::string author;    ///< Who applied it, as given to the tool.
     UnixMillis applied_at = 0;
 };
 
-/// The one value that switches the configuration: it names the parts by their
-/// digests, so that half of an apply can't be seen.
+/// The one value that selects the configuration: it names the parts by their
+/// digests, so that a partial apply is never visible.
 struct ConfigurationHead {
     std::uint64_t revision = 0;               ///< Grows by one per change.
     std::map<std::string, Digest> parts;      ///< Part name to SHA-256 of it.
@@ -32,18 +32,18 @@
 
     /// Returns the change that made this revision, or null for revision 0.
     const ConfigurationChange* latest() const;
-    /// Returns true where `change_id` is among the kept history.
+    /// Returns true where `change_id` is in the history.
     bool has_change(std::string_view change_id) const;
     /// Returns the head that follows this one.
     ConfigurationHead next(std::map<std::string, Digest> new_parts,
                            ConfigurationChange change) const;
 
     std::string to_json() const;
-    /// Throws Error(TemplateInvalid) where `text` is no head.
+    /// Throws Error(TemplateInvalid) where `text` is not a head.
     static ConfigurationHead from_json(std::string_view text);
 };
 
-/// Key of the head in the platform's service.
+/// Key of the head in the platform's store.
 inline constexpr std::string_view configuration_head_key =
     "crosslink/configuration/head";
 /// Returns the platform key of the part with this digest.
--- a/src/include/crosslink/configuration/configuration_state.h
+++ b/src/include/crosslink/configuration/configuration_state.h
@@ -12,8 +12,8 @@
 namespace crosslink
 {
 
-/// Holds the configuration in force in this process. It moves forward only:
-/// an older or equal revision is turned away whoever offers it.
+/// Holds the configuration in force in this process. Its revision only grows:
+/// an older or equal one is rejected, whatever its source.
 class ConfigurationState
 {
 public:
@@ -32,17 +32,18 @@
     ConfigurationPtr m_current;
 };
 
-/// Who tells a starting instance about the newest configuration.
+/// Which sources told a starting instance the newest configuration.
 struct StartupReplies {
-    bool platform_answered = false; ///< The platform told its head.
-    std::size_t zone_members = 0;   ///< Other members of the zone, as known.
-    std::size_t zone_answered = 0;  ///< Those that told their revision.
+    bool platform_answered = false; ///< The platform returned its head.
+    std::size_t zone_members = 0;   ///< Known other members of the zone.
+    std::size_t zone_answered = 0;  ///< Those that reported their revision.
 };
 
 /// Decides whether a starting instance may serve with the newest revision it
-/// has learned. The platform's own answer is enough. Without it every known
-/// member of the zone must have answered: an instance that starts in a cut
-/// must not serve a revision older than what its zone already serves.
+/// has learned. The platform's own answer is enough. Without it, every known
+/// member of the zone must have answered: an instance that starts during a
+/// network partition must not serve a revision older than what its zone already
+/// serves.
 bool may_start_serving(const StartupReplies& evidence, std::uint64_t revision);
 
 } // namespace crosslink
--- a/src/include/crosslink/configuration/template_set.h
+++ b/src/include/crosslink/configuration/template_set.h
@@ -14,11 +14,11 @@
 namespace crosslink
 {
 
-/// A mistake in a declaration, with the place an operator has to look at.
+/// A mistake in a declaration, with its location for the operator.
 struct TemplateMistake {
     std::string file;  ///< File name, or part name for a stored set.
     std::string field; ///< Path of the field, like "accounts[3].limits".
-    std::string what;  ///< What is wrong, and the range it must be in.
+    std::string what;  ///< What is wrong, and the valid range.
 };
 
 /// The operators' declarations as written: templates with parameters, and the
@@ -29,7 +29,7 @@
     /// Adds the declarations of one file; mistakes are collected, not thrown.
     void add(const std::string& file, const Json::Value& document);
 
-    /// Adds a mistake that was found outside, such as a file that is no JSON.
+    /// Adds a mistake that the caller found, such as a file that is not JSON.
     void add_mistake(TemplateMistake mistake)
     {
         m_mistakes.push_back(std::move(mistake));
@@ -41,9 +41,9 @@
     /// Returns the mistakes found by add() and accounts() so far.
     const std::vector<TemplateMistake>& mistakes() const { return m_mistakes; }
 
-    /// Returns the set cut into named parts, each below `max_part_bytes` for
-    /// the sizes that docs/CAPACITY.md plans for. A change of one account
-    /// changes one part.
+    /// Returns the set divided into named parts, each below the platform's
+    /// limit of one megabyte for the sizes that docs/CAPACITY.md plans for. A
+    /// change of one account changes one part.
     std::map<std::string, std::string> parts() const;
 
 private:
@@ -57,7 +57,8 @@
                  const std::string& what);
     void add_list(const std::string& file, const Json::Value& document,
                   const char* list, std::map<std::string, Declared>& into);
-    /// Terms by template and parameter values; null where they have mistakes.
+    /// Policies by template and parameter values; null where they have
+    /// mistakes.
     using TermsCache =
         std::map<std::string, std::shared_ptr<const AccountPolicy>>;
 
--- a/src/include/crosslink/relay/relay.h
+++ b/src/include/crosslink/relay/relay.h
@@ -12,17 +12,17 @@
 namespace crosslink
 {
 
-/// What is to be done with a frame.
+/// What to do with a frame.
 enum class RelayAction {
     Forward, ///< It is the next token of the answer: send it to the caller.
-    Finish,  ///< As Forward, and the answer is whole.
+    Finish,  ///< As Forward, and the answer is complete.
     Drop,    ///< Of another attempt, or already relayed.
-    Gap,     ///< Tokens before it are missing: take the stream up again.
-    WrongWeights, ///< Made by another weight version: end this attempt.
+    Gap,     ///< Tokens before it are missing: resume the stream.
+    WrongWeights, ///< Generated with another weight version: end this attempt.
 };
 
-/// Follows one answer over its attempts and lets through each token once, in
-/// order, from the attempt that is current.
+/// Tracks one answer across its attempts. Passes each token on exactly once, in
+/// order, from the current attempt only.
 class Relay
 {
 public:
@@ -31,7 +31,8 @@
 
     /// Makes `run_id` the current attempt; frames of older ones are dropped.
     void begin_attempt(std::string_view run_id);
-    /// Decides on `frame`; on Forward and Finish its text joins text().
+    /// Returns what to do with `frame`. For Forward and Finish, its text is
+    /// appended to text().
     RelayAction take(const EngineFrame& frame);
 
     /// Returns the number of tokens relayed so far.
@@ -39,8 +40,9 @@
     /// Returns the text relayed so far.
     const std::string& text() const { return m_text; }
     bool finished() const { return m_finished; }
-    /// Returns the prompt tokens and those not computed, once finished. What
-    /// an attempt continued from counts as output, not as prompt.
+    /// Returns the number of prompt tokens, and of those among them that were
+    /// not computed, once the answer is finished. Output that an attempt
+    /// continued from does not count as prompt.
     std::uint32_t prompt_tokens() const { return m_prompt_tokens; }
     std::uint32_t cached_tokens() const { return m_cached_tokens; }
 
@@ -48,7 +50,7 @@
     std::string m_version;
     std::string m_run_id;
     std::uint32_t m_next_index = 0;
-    std::uint32_t m_continued_from = 0; ///< Where this attempt began.
+    std::uint32_t m_continued_from = 0; ///< First index of this attempt.
     std::string m_text;
     bool m_finished = false;
     std::uint32_t m_prompt_tokens = 0;
--- a/src/include/crosslink/report/burn_report.h
+++ b/src/include/crosslink/report/burn_report.h
@@ -17,20 +17,20 @@
 namespace crosslink
 {
 
-/// How one request went, as the report counts it.
+/// The outcome of one request, as the report counts it.
 struct RequestOutcome {
     std::string account;
-    std::string model; ///< Or the plain service.
+    std::string model; ///< Or name of the plain service.
     std::string zone;
     Objectives objectives;
-    bool answered = false; ///< A whole answer was given.
+    bool answered = false; ///< The caller got a complete answer.
     Micros first_token{0};
     Micros slowest_between{0}; ///< Longest time between two tokens.
     std::uint64_t prompt_tokens = 0;
     std::uint64_t computed_tokens = 0; ///< Prompt tokens computed again.
 };
 
-/// Counts of one span of time.
+/// Counts of one time window.
 struct BurnCounts {
     std::uint64_t requests = 0;
     std::uint64_t unanswered = 0;
@@ -42,10 +42,10 @@
     void add(const BurnCounts& other);
 };
 
-/// Service-level burn: for each client account, model and zone the share of
-/// requests outside their objectives over a fast (5 min) and a slow (1 h)
-/// window, relative to the share that the objectives allow. A burn of 1 uses
-/// the budget up just as fast as allowed.
+/// Error budget burn rates: for each client account, model and zone, the share
+/// of requests outside their objectives over a fast (5 min) and a slow (1 h)
+/// window, relative to the share that the objectives allow. A burn rate of 1
+/// uses the error budget up exactly as fast as allowed.
 class BurnReport
 {
 public:
@@ -55,7 +55,7 @@
     Json::Value rows(TimePoint now) const;
 
 private:
-    static constexpr std::size_t slots = 60; ///< One a minute.
+    static constexpr std::size_t slots = 60; ///< One for each minute.
 
     struct Slot {
         std::int64_t minute = -1;
@@ -78,10 +78,11 @@
     std::map<SeriesName, Series> m_series;
 };
 
-/// Returns rows of several instances added up, worst burn first.
+/// Returns the sums of the rows of several instances, the highest burn rate
+/// first.
 Json::Value merge_burn_rows(const std::vector<Json::Value>& reports);
-/// Returns the links of several instances added up by store: each has the
-/// fields "store", "bytes_per_second" and "fetched".
+/// Returns the links of several instances merged by store: each has the fields
+/// "store", "bytes_per_second" (the highest) and "fetched" (the sum).
 Json::Value merge_links(const std::vector<Json::Value>& links);
 /// Returns the report as text for a terminal.
 std::string burn_text(const Json::Value& rows);
--- a/src/libcrosslink/authenticate/authenticator_test.cpp
+++ b/src/libcrosslink/authenticate/authenticator_test.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("a caller without a known key is turned away")
+TEST_CASE("a caller without a known key is rejected")
 {
     CHECK(failure_of("") == ErrorCode::MissingKey);
     CHECK(failure_of("Bearer ") == ErrorCode::MissingKey);
--- a/src/libcrosslink/base/json_test.cpp
+++ b/src/libcrosslink/base/json_test.cpp
@@ -44,14 +44,14 @@
     CHECK(strings_from_json(object["list"]).empty());
 }
 
-TEST_CASE("texts come back as they were")
+TEST_CASE("strings are unchanged after encoding and decoding")
 {
     const std::vector<std::string> texts{"b", "", "a"};
     CHECK(json_text(json_strings(texts)) == R"(["b","","a"])");
     CHECK(strings_from_json(json_strings(texts)) == texts);
 }
 
-TEST_CASE("a number of 32 bits is read or its fallback taken")
+TEST_CASE("a 32-bit number is read, or the fallback is returned")
 {
     const Json::Value object =
         parse_json(R"({"n":7,"text":"7","large":4294967297})");
--- a/src/libcrosslink/base/number_test.cpp
+++ b/src/libcrosslink/base/number_test.cpp
@@ -38,14 +38,14 @@
     CHECK_FALSE(parse_leading_integer<std::uint32_t>("4294967296 "));
 }
 
-TEST_CASE("spaces before a text are passed over")
+TEST_CASE("leading spaces are removed")
 {
     CHECK(without_leading_spaces("  a b ") == "a b ");
     CHECK(without_leading_spaces("  ").empty());
     CHECK(without_leading_spaces("\ta") == "\ta");
 }
 
-TEST_CASE("a decimal number is finite, and not below nothing")
+TEST_CASE("a decimal number is finite and not negative")
 {
     CHECK(decimal_number("1.5") == 1.5);
     CHECK(decimal_number("0") == 0);
--- a/src/libcrosslink/configuration/account_reader.h
+++ b/src/libcrosslink/configuration/account_reader.h
@@ -10,8 +10,8 @@
 namespace crosslink::pvt
 {
 
-/// Reads the body of a template with its parameters filled in. Mistakes go to
-/// the reader's report.
+/// Reads the body of a template with its parameters filled in. Mistakes are
+/// reported by the reader.
 void read_account_policy(FieldReader& reader, AccountPolicy& terms);
 
 /// Reads `key_hashes`: 64 hexadecimal digits each, SHA-256 of an API key.
--- a/src/libcrosslink/configuration/configuration_commit.cpp
+++ b/src/libcrosslink/configuration/configuration_commit.cpp
@@ -12,7 +12,8 @@
 namespace
 {
 
-/// Times that an unclear answer is settled by reading back.
+/// Attempts at a write whose outcome is unknown; after each, the record is read
+/// back.
 constexpr int most_rounds = 5;
 
 void
@@ -20,7 +21,7 @@
 {
     for (int round = 0; round < most_rounds; ++round) {
         try {
-            // Named by its digest: where it is there already, it is the same.
+            // The key holds the digest: a record that exists has the same text.
             platform.write_if(configuration_part_key(digest), text, 0);
             return;
         } catch (const Error& failure) {
@@ -31,7 +32,7 @@
             return;
     }
     throw Error(ErrorCode::PlatformOutcomeUnknown,
-                "a part could not be written for certain");
+                "it is unknown whether a part was written");
 }
 
 [[noreturn]] void
@@ -75,7 +76,8 @@
             if (failure.code() != ErrorCode::PlatformOutcomeUnknown)
                 throw;
         }
-        // Either lost, or won with its answer lost: the change id tells.
+        // Another change was first, or this one was applied and the answer was
+        // lost: the change id tells which.
         const HeadRecord now = read_head(platform);
         if (now.head.has_change(change.change_id))
             return next;
@@ -83,7 +85,7 @@
             lost_to(now.head);
     }
     throw Error(ErrorCode::PlatformOutcomeUnknown,
-                "it could not be settled whether the change is in place");
+                "it is unknown whether the change is in place");
 }
 
 void
--- a/src/libcrosslink/configuration/configuration_commit_test.cpp
+++ b/src/libcrosslink/configuration/configuration_commit_test.cpp
@@ -28,7 +28,8 @@
 
 } // namespace
 
-TEST_CASE("of two operators that race one wins and the other changes nothing")
+TEST_CASE(
+    "of two operators that race one commits and the other changes nothing")
 {
     FakePlatform platform;
     const HeadRecord base = read_head(platform);
@@ -44,7 +45,7 @@
     CHECK(now.head.parts.at("p") == sha256("one"));
 }
 
-TEST_CASE("a commit whose answer is lost counts once")
+TEST_CASE("a commit whose answer is lost is applied once")
 {
     FakePlatform platform;
     int calls = 0;
@@ -58,7 +59,7 @@
     CHECK(read_head(platform).head.history.size() == 1);
 }
 
-TEST_CASE("parts that nothing names are removed")
+TEST_CASE("parts that no head names are removed")
 {
     FakePlatform platform;
     ConfigurationHead before;
@@ -71,7 +72,7 @@
     CHECK(platform.list(configuration_part_prefix).size() == 2);
 }
 
-TEST_CASE("racing operators with faults keep one history")
+TEST_CASE("concurrent operators and faults leave one history")
 {
     CHECK(rc::check("revisions grow by one and acknowledged changes stay", [] {
         FakePlatform platform;
--- a/src/libcrosslink/configuration/configuration_state_test.cpp
+++ b/src/libcrosslink/configuration/configuration_state_test.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("the revision in force never goes back")
+TEST_CASE("the revision in force never decreases")
 {
     CHECK(rc::check("it is the highest one offered so far", [] {
         ConfigurationState state;
@@ -39,7 +39,7 @@
     }));
 }
 
-TEST_CASE("a part that does not fit its digest is turned away")
+TEST_CASE("a part that does not match its digest is rejected")
 {
     ConfigurationHead head;
     head.revision = 1;
@@ -50,7 +50,7 @@
     CHECK_THROWS_AS(Configuration(head, texts), Error);
 }
 
-TEST_CASE("a start without the platform waits for all of the zone")
+TEST_CASE("a start without the platform requires answers from the whole zone")
 {
     StartupReplies evidence;
     CHECK_FALSE(may_start_serving(evidence, 3));
--- a/src/libcrosslink/configuration/field_reader.h
+++ b/src/libcrosslink/configuration/field_reader.h
@@ -12,18 +12,18 @@
 namespace crosslink::pvt
 {
 
-/// Reads the fields of one JSON object and reports every mistake with its
-/// place. Fields that nobody asked for are mistakes as well.
+/// Reads the fields of one JSON object and reports every mistake with its path.
+/// Fields that were not read are mistakes as well.
 class FieldReader
 {
 public:
     using Report =
         std::function<void(const std::string& field, const std::string& what)>;
 
-    /// `object` must outlive the reader; `place` is the path of the object.
+    /// `object` must outlive the reader; `path` is the path of the object.
     FieldReader(const Json::Value& object, std::string place, Report report);
 
-    /// Each of these leaves `value` as it is where the field is absent.
+    /// These leave `value` unchanged where the field is absent.
     void text(const char* name, std::string& value, bool required = false);
     void texts(const char* name, std::vector<std::string>& value);
     void real(const char* name, double& value, double low, double high);
@@ -37,11 +37,11 @@
     /// Calls `item` for the object `name`, where there is one.
     void object(const char* name,
                 const std::function<void(FieldReader& reader)>& item);
-    /// Returns the field without a check, and counts it as asked for.
+    /// Returns the field unchecked, and counts it as read.
     const Json::Value& any(const char* name);
     /// Reports a mistake in field `name`.
     void wrong(const std::string& name, const std::string& what) const;
-    /// Reports the fields that nobody asked for.
+    /// Reports the fields that were not read.
     void finish() const;
 
 private:
--- a/src/libcrosslink/configuration/parameters.cpp
+++ b/src/libcrosslink/configuration/parameters.cpp
@@ -16,7 +16,7 @@
 bool
 in_range(const Json::Value& rule, const Json::Value& value)
 {
-    // jsoncpp orders numbers of different kinds by their kind, so both are
+    // jsoncpp orders numbers of different types by their type, so both are
     // compared as reals.
     if (!value.isNumeric())
         return false;
--- a/src/libcrosslink/configuration/template_set.cpp
+++ b/src/libcrosslink/configuration/template_set.cpp
@@ -15,8 +15,8 @@
 namespace
 {
 
-/// Accounts are spread over this many parts, so that a change is small and no
-/// part comes near the platform's limit of one megabyte a value.
+/// Accounts are distributed over this many parts, so that a change is small and
+/// no part comes near the platform's limit of one megabyte for a value.
 constexpr std::uint64_t account_parts = 32;
 constexpr const char* templates_part = "templates";
 
@@ -136,8 +136,8 @@
 void
 TemplateSet::check_templates(TermsCache& cache)
 {
-    // A template is checked with its defaults as well, so that mistakes are
-    // told before the first account uses it.
+    // A template is also checked with its defaults, so that mistakes are
+    // reported before the first account uses it.
     for (const auto& [name, declared] : m_templates) {
         bool complete = true;
         const Json::Value values = pvt::parameter_values(
--- a/src/libcrosslink/configuration/template_set_test.cpp
+++ b/src/libcrosslink/configuration/template_set_test.cpp
@@ -64,7 +64,7 @@
     CHECK(accounts[0].policy != accounts[2].policy);
 }
 
-TEST_CASE("a whole number may stand where the range is of real numbers")
+TEST_CASE("an integer is accepted where the range is of real numbers")
 {
     TemplateSet set = set_with(
         R"({"name": "a", "template": "cooks", "parameters": {"rate": 1}})");
@@ -72,7 +72,7 @@
     CHECK(set.mistakes().empty());
 }
 
-TEST_CASE("every mistake is told with its field")
+TEST_CASE("every mistake is reported with its field")
 {
     TemplateSet set = set_with(
         R"({"name": "a", "template": "none"},
@@ -97,7 +97,7 @@
     CHECK(has_mistake(set, "templates[0].account.priority"));
 }
 
-TEST_CASE("two accounts can't have the same key")
+TEST_CASE("two accounts with the same key are a mistake")
 {
     const std::string hash(64, 'a');
     TemplateSet set = set_with(
@@ -108,7 +108,7 @@
     CHECK(has_mistake(set, "accounts[1].key_hashes"));
 }
 
-TEST_CASE("a set in parts is the same set")
+TEST_CASE("a set rebuilt from its parts is the same set")
 {
     TemplateSet set = set_with(R"({"name": "a", "template": "cooks"})");
     TemplateSet again;
--- a/src/libcrosslink/relay/relay_test.cpp
+++ b/src/libcrosslink/relay/relay_test.cpp
@@ -62,7 +62,7 @@
     CHECK(relay.cached_tokens() == 100);
 }
 
-TEST_CASE("a frame of other weights is not relayed")
+TEST_CASE("a frame of another weight version is not relayed")
 {
     Relay relay("v2");
     relay.begin_attempt("r");
@@ -78,7 +78,7 @@
     CHECK(relay.next_index() == 0);
 }
 
-TEST_CASE("nothing follows a whole answer")
+TEST_CASE("no frame is relayed after a complete answer")
 {
     Relay relay("v1");
     relay.begin_attempt("r");
@@ -87,7 +87,7 @@
     CHECK_THROWS_AS(relay.begin_attempt("r-2"), Error);
 }
 
-TEST_CASE("late, doubled and reordered frames never change the answer")
+TEST_CASE("late, duplicated and reordered frames never change the answer")
 {
     CHECK(rc::check("the text is a prefix, and whole where finished", [] {
         const auto count = *rc::gen::inRange<std::uint32_t>(1, 12);
--- a/src/libcrosslink/report/burn_page.cpp
+++ b/src/libcrosslink/report/burn_page.cpp
@@ -96,7 +96,7 @@
     return result;
 }
 
-/// Returns a bar as inline SVG: full width is a burn of `full`.
+/// Returns a bar as inline SVG: full width is a burn rate of `full`.
 std::string
 bar(double value, double full)
 {
@@ -154,7 +154,8 @@
             sum["store"] = link["store"];
             sum["fetched"] = Json::UInt64(json_uint64(sum, "fetched") +
                                           json_uint64(link, "fetched"));
-            // Instances learn different speeds; the fastest met least others.
+            // Instances learn different speeds: the highest one had to share
+            // the link the least.
             sum["bytes_per_second"] =
                 std::max(json_double(sum, "bytes_per_second"),
                          json_double(link, "bytes_per_second"));
--- a/src/libcrosslink/report/burn_report_test.cpp
+++ b/src/libcrosslink/report/burn_report_test.cpp
@@ -38,7 +38,7 @@
     REQUIRE(rows.size() == 1);
     CHECK(rows[0]["fast"]["late_first"].asUInt64() == 1);
     CHECK(rows[0]["slow"]["requests"].asUInt64() == 10);
-    // One in ten is late where one in twenty may be: a burn of two.
+    // One in ten is late where one in twenty may be: a burn rate of 2.
     CHECK(burn_text(rows).find("2.00") != std::string::npos);
     CHECK(burn_text(rows).find("40%") != std::string::npos);
     const Json::Value later = report.rows(now + std::chrono::minutes(10));
--- a/src/serve/fleet/change_applier.cpp
+++ b/src/serve/fleet/change_applier.cpp
@@ -44,7 +44,7 @@
 {
     m_state.fleet.with([&](FleetView& view) {
         WeightsHistory& history = view.weights[change.model];
-        // In a whole reading they may have been named long ago.
+        // A snapshot may name weights that are long in use.
         if (m_whole)
             history.found(change.version, monotonic_now());
         else
@@ -96,7 +96,7 @@
         .field("evacuated", change.evacuated);
 }
 
-/// Closes the connections to the process that the runner was before.
+/// Closes the connections to the runner's previous process.
 void
 ChangeApplier::started_anew(const ListedRunner& runner)
 {
@@ -107,8 +107,8 @@
         .span("cold_for", runner.cold_for);
 }
 
-/// Takes note of what a listing says of the processes before: an earlier one of
-/// the id, and others at the address, have ended, unless they left as planned.
+/// Records which processes a new listing replaces: an earlier one with the same
+/// id, and others at the same address, have ended, unless they left as planned.
 void
 ChangeApplier::note_replaced(const ListedRunner& runner)
 {
@@ -127,8 +127,8 @@
     m_state.note_runner_replaced(runner);
 }
 
-/// Takes note of a runner that is listed no longer: unless it said that it
-/// leaves, its process may have ended.
+/// Records that a runner is no longer listed: its process may have ended,
+/// unless it announced that it leaves.
 void
 ChangeApplier::note_gone(const std::string& id)
 {
@@ -175,7 +175,8 @@
 void
 ChangeApplier::operator()(const RunnerGone& change)
 {
-    // What lapsed while the platform was away may be well.
+    // A runner whose entry expired during an outage of the platform may be
+    // healthy.
     if (!m_lapsed_until)
         note_gone(change.id);
     m_state.runners.with([&](RunnerTable& table) {
--- a/src/serve/fleet/change_applier.h
+++ b/src/serve/fleet/change_applier.h
@@ -17,13 +17,14 @@
 
 struct ForwardState;
 
-/// Takes one change after the other that the platform told into the state of
-/// an instance.
+/// Applies changes of the platform's store, one after the other, to the state
+/// of an instance.
 class ChangeApplier
 {
 public:
-    /// `whole` where the changes are all that there is; see
-    /// ForwardState::apply_changes() for `lapsed_until`. `state` outlives it.
+    /// `is_snapshot` tells that the changes describe the complete state. See
+    /// ForwardState::apply_changes() for `lapsed_until`. `state` must outlive
+    /// this object.
     ChangeApplier(ForwardState& state, bool whole,
                   std::optional<TimePoint> lapsed_until);
 
@@ -37,8 +38,8 @@
     void operator()(const RunnerGone& change);
     void operator()(const InstanceListed& change);
     void operator()(const DutyHolder& change);
-    /// Drops what a whole reading did not name, and lets what the record of
-    /// rollouts tells count.
+    /// Ends the sequence: drops what a snapshot did not name, and applies the
+    /// records of rollouts.
     void finish();
 
 private:
--- a/src/serve/fleet/change_receiver.cpp
+++ b/src/serve/fleet/change_receiver.cpp
@@ -14,18 +14,19 @@
 namespace
 {
 
-/// News that are older come from an instance that has lost the platform or its
-/// own parent. The holder of the duty hears of the platform each 0.4 s, and
-/// each of two exchanges adds 0.15 s; a change must be in force in two seconds.
+/// Largest age of changes that are in time: older ones come from an instance
+/// that has lost contact with the platform or its own parent. The coordinator
+/// gets an answer of the platform every 0.4 s, and each of two exchanges adds
+/// 0.15 s; a change must be in force within two seconds.
 constexpr Micros in_time = std::chrono::milliseconds(1200);
-/// Without any word for so long, the platform may have been away for all.
-/// Waits for its answers take 1.8 s and less.
+/// Without any confirmation for so long, the platform may have been unavailable
+/// to all instances. Waits for its answers take 1.8 s or less.
 constexpr Micros longest_silence = std::chrono::milliseconds(2500);
-/// Entries of runners that lapsed while the platform was away are back within
-/// two seconds of its return, as its operators say; less the time in which a
-/// call reaches its runner.
+/// Entries of runners that expired during an outage of the platform are listed
+/// again within two seconds of its return, as its operators state. This is that
+/// time, less the time in which a call reaches its runner.
 constexpr Micros lapsed_time = std::chrono::milliseconds(1800);
-/// Longer than any age that counts.
+/// Longer than any limit on an age.
 constexpr Micros never = std::chrono::hours(1);
 
 } // namespace
@@ -54,7 +55,8 @@
 ChangeReceiver::take(const ChangePage& page, TimePoint confirmed)
 {
     const TimePoint now = monotonic_now();
-    // News of long ago, taken at a start, say nothing of the platform now.
+    // An old state, which may be applied at a start, does not show that the
+    // platform is available now.
     const bool fresh = now - confirmed <= longest_silence;
     if (!m_log.apply(page))
         return false;
@@ -77,8 +79,8 @@
     return true;
 }
 
-/// Returns until when runners that are not listed any more may be well: the
-/// platform was away until a moment ago.
+/// Returns until when runners that are no longer listed may be healthy, since
+/// the platform was unavailable until a moment ago; nothing otherwise.
 std::optional<TimePoint>
 ChangeReceiver::lapsed_until(TimePoint now)
 {
@@ -98,7 +100,8 @@
     std::vector<HolderHistory::Ended> ended;
     ended.reserve(seen.ended.size());
     const TimePoint now = monotonic_now();
-    // Counted from now, all is later than it was: no grace is cut short.
+    // Counted back from now, the ends seem later than they were, so that no
+    // grace time is cut short.
     for (const HoldersSeen::Ended& item : seen.ended)
         ended.push_back({item.address, now - item.ago});
     m_state.fleet.with([&](FleetView& view) {
--- a/src/serve/fleet/change_receiver.h
+++ b/src/serve/fleet/change_receiver.h
@@ -18,38 +18,43 @@
 namespace crosslink
 {
 
-/// The one way of the platform's news into this instance, whether the platform
-/// told them or another instance: in order, never backwards, and with the time
-/// as of which they are known to be all. Safe for many threads.
+/// Receives all changes of the platform's store, from the platform itself and
+/// from other instances. Applies them in order, never reverts to an earlier
+/// revision, and keeps the time as of which they are known to be complete.
+/// Thread-safe.
 class ChangeReceiver
 {
 public:
     ChangeReceiver(ForwardState& state, Coordinator& coordinator);
 
-    /// Takes in what the platform answered, which was all at `confirmed`. It is
-    /// dropped where other news came in meanwhile: it is to be asked anew.
+    /// Applies an answer of the platform, which was complete at `confirmed`. It
+    /// is dropped where other changes arrived meanwhile; the caller has to ask
+    /// again.
     void told_by_platform(const ChangePage& page, TimePoint confirmed);
-    /// Takes in what another instance told, which was all at `confirmed`.
+    /// Applies changes from another instance, which were complete at
+    /// `confirmed`.
     void told_by_instance(const ChangePage& page, TimePoint confirmed);
-    /// Takes over what another instance has seen of earlier holders of the
-    /// duty, where it reaches up to what is known here. A fresh instance that
-    /// took the duty waited 8 s to show that no earlier holder tells, and the
-    /// stores stayed full of parts of replaced weights.
+    /// Takes over what another instance knows of former holders of the duty,
+    /// where that instance is at least at the revision of the last snapshot
+    /// received here. Without this, a fresh instance that took the duty waited
+    /// 8 s to be sure that no former holder still answers, while the stores
+    /// stayed full of parts of replaced weights.
     void learn_holders(const HoldersSeen& seen);
-    /// Returns what is known here of earlier holders.
+    /// Returns what is known here of former holders.
     HoldersSeen holders_seen(TimePoint now);
-    /// Takes note that the platform gives this instance no answer.
+    /// Records that the platform does not answer this instance.
     void lost();
 
-    /// Returns up to where the platform's store is known.
+    /// Returns the revision up to which the platform's store is known; nothing
+    /// before the first snapshot.
     std::optional<std::uint64_t> place();
-    /// Returns what follows `place`, for another instance.
+    /// Returns the changes after `revision`, for another instance.
     ChangePage since(std::optional<std::uint64_t> place);
-    /// Returns how long ago at `now` the platform last told that all is known
-    /// here; a large time before the first.
+    /// Returns the time at `now` since the platform last confirmed that all
+    /// changes are known here; a large time before the first confirmation.
     Micros age(TimePoint now);
-    /// Returns whether other instances tell this one the platform's news in
-    /// time, so that it need not ask itself.
+    /// Returns whether other instances deliver changes in time, so that this
+    /// one need not ask the platform.
     bool told_in_time(TimePoint now);
 
 private:
@@ -60,11 +65,11 @@
     Coordinator& m_coordinator;
     std::mutex m_mutex;
     ChangeLog m_log;
-    std::uint64_t m_whole_place = 0; ///< Of the last whole page.
+    std::uint64_t m_whole_place = 0; ///< Revision of the last snapshot.
     std::optional<TimePoint> m_confirmed;
-    TimePoint m_told_confirmed{}; ///< The same, by other instances alone.
+    TimePoint m_told_confirmed{}; ///< The same, by other instances only.
     bool m_lost = false;          ///< The platform does not answer.
-    TimePoint m_lapsed_until{};   ///< Runners that are not listed may be well.
+    TimePoint m_lapsed_until{};   ///< Unlisted runners may be healthy.
 };
 
 } // namespace crosslink
--- a/src/serve/fleet/exchange.h
+++ b/src/serve/fleet/exchange.h
@@ -19,38 +19,42 @@
 namespace crosslink
 {
 
-/// Weights that an instance heard of, and how long ago.
+/// A weight version that an instance knows, and the time since it learned of
+/// it.
 struct WeightsAge {
     std::string model;
     std::uint64_t version = 0;
     Micros age{0};
 };
 
-/// A runner that took no connection, or broke one off, and how long ago.
+/// A runner that did not accept a connection, or broke one, and the time since
+/// then.
 struct ConnectionFailure {
     std::string runner;
     Micros age{0};
 };
 
-/// What an instance tells its parent in the fleet's tree a few times a second:
-/// the holder of the duty, or an instance that asks the holder for others too.
+/// The report that an instance sends to its parent in the fleet's tree a few
+/// times a second. The parent is the coordinator, which holds the fleet's duty
+/// lease, or an instance that asks the coordinator for others too.
 struct ExchangeRequest {
     std::string instance;
-    /// That it gives to runners, with that of the instances which ask it.
+    /// Load on each runner from this instance and from those that ask it.
     std::map<std::string, RunnerLoad> load;
     std::uint64_t kept_term = 0; ///< Position of its copy of the directory.
     std::uint64_t kept_place = 0;
     std::vector<WeightsAge> weights;
-    std::vector<ConnectionFailure> lost; ///< Runners that may start anew.
-    CrashUpdate crashes;                 ///< Learned lately.
-    std::vector<LimitUpdate> limits;     ///< That runners named.
-    std::vector<LeavingUpdate> leaving;  ///< Runners, by their own word.
-    std::vector<FetchSamples> fetches;   ///< Seen since the last question.
-    /// Up to where it knows the platform's store; nothing before all of it.
+    std::vector<ConnectionFailure> lost; ///< Runners that may have restarted.
+    CrashUpdate crashes;                 ///< Learned recently.
+    std::vector<LimitUpdate> limits;     ///< Limits that runners stated.
+    std::vector<LeavingUpdate> leaving;  ///< Runners that announced leaving.
+    std::vector<FetchSamples> fetches;   ///< Seen since the last request.
+    /// Revision up to which it knows the platform's store; nothing before it
+    /// knows all of it.
     std::optional<std::uint64_t> news_place;
 };
 
-/// Weights that a runner has by its own word.
+/// Weights that a runner itself reports to have.
 struct RunnerWeights {
     std::string runner;
     std::uint64_t start_ms = 0; ///< Its incarnation.
@@ -58,39 +62,39 @@
     std::uint64_t version = 0;
 };
 
-/// The earlier holders of the duty that an instance heard of.
+/// The former holders of the duty lease that an instance knows.
 struct HoldersSeen {
-    /// A holder whose duty ended, and how long ago that was heard of.
+    /// A holder whose duty ended, and the time since this was learned.
     struct Ended {
         std::string address;
         Micros ago{0};
     };
 
-    std::uint64_t place = 0; ///< Of the platform's store, heard of up to it.
-    Micros watched{0};       ///< For so long nothing was missed.
+    std::uint64_t place = 0; ///< Revision of the platform's store.
+    Micros watched{0};       ///< How long no change of holder was missed.
     std::vector<Ended> ended;
 };
 
-/// What it learns in return.
+/// The state of the fleet that an instance gets in return.
 struct ExchangeResponse {
-    std::map<std::string, RunnerLoad> others; ///< Of all other instances.
-    std::vector<std::string> loading; ///< Runners that were told to load.
-    /// Weights that runners have loaded a moment ago, by their own word. The
-    /// platform's list tells them a second later.
+    std::map<std::string, RunnerLoad> others; ///< Load of all other instances.
+    std::vector<std::string> loading; ///< Runners ordered to load weights.
+    /// Weights that runners report to have just loaded. The platform's list
+    /// shows them a second later.
     std::vector<RunnerWeights> loaded;
-    std::vector<ConnectionFailure> lost; ///< Runners that may start anew.
-    CrashUpdate crashes;                 ///< Learned lately.
-    std::vector<LimitUpdate> limits;     ///< That runners named.
-    std::vector<LeavingUpdate> leaving;  ///< Runners, by their own word.
-    std::vector<FetchDelay> fetches;     ///< How late they are.
+    std::vector<ConnectionFailure> lost; ///< Runners that may have restarted.
+    CrashUpdate crashes;                 ///< Learned recently.
+    std::vector<LimitUpdate> limits;     ///< Limits that runners stated.
+    std::vector<LeavingUpdate> leaving;  ///< Runners that announced leaving.
+    std::vector<FetchDelay> fetches;     ///< Delays by store and zone.
     KeptUpdate kept;
-    std::vector<WeightsAge> weights; ///< As the first instance heard of them.
-    bool platform_reached = false; ///< The holder gets the platform's answers.
-    Micros load_age{0}; ///< Of `others`, beyond the pause between exchanges.
-    Micros age{0};      ///< Since the holder of the duty told what stands here.
+    std::vector<WeightsAge> weights; ///< As first learned by any instance.
+    bool platform_reached = false;   ///< The sender gets platform responses.
+    Micros load_age{0}; ///< Age of `others` beyond the pause between exchanges.
+    Micros age{0};      ///< Time since the coordinator sent its data.
     HoldersSeen holders;
-    ChangePage news;    ///< Of the platform's store, after the place asked for.
-    Micros news_age{0}; ///< Since the platform last told that `news` is all.
+    ChangePage news;    ///< After the revision in the request.
+    Micros news_age{0}; ///< Since the platform confirmed `changes`.
 };
 
 } // namespace crosslink
--- a/src/serve/fleet/exchange_duty.cpp
+++ b/src/serve/fleet/exchange_duty.cpp
@@ -24,24 +24,27 @@
 namespace
 {
 
-/// With the holder of the duty, which may be in another zone, and is asked by
-/// the parents of all zones.
+/// Pause between exchanges with the coordinator, which may be in another zone,
+/// and serves the parents of all zones.
 constexpr Micros exchange_pause = std::chrono::milliseconds(150);
-/// With a parent of the own zone, whose runners get most of the calls. A prompt
-/// of 9,000 tokens is read in 160 ms: a picture older than that shows idle
-/// runners as busy.
+/// Pause between exchanges with a parent in the same zone, whose runners get
+/// most of the calls. A prompt of 9,000 tokens is read in 160 ms: load data
+/// older than that shows idle runners as busy.
 constexpr Micros near_pause = std::chrono::milliseconds(100);
 constexpr Micros after_failure = std::chrono::milliseconds(400);
-/// Where there is another parent to ask.
+/// Pause after a failure where there is another parent to ask.
 constexpr Micros before_next_parent = std::chrono::milliseconds(20);
-/// A parent that failed is asked last for so long.
+/// How long other parents are preferred to one that failed.
 constexpr Micros avoided_for = std::chrono::seconds(2);
-/// As long as nothing is known of what is kept, all prompts are read whole.
+/// Pause after a failure before the first copy of the directory of stored
+/// parts: until then, all prompts are read whole.
 constexpr Micros after_failure_unlearned = std::chrono::milliseconds(80);
-/// After so many exchanges that failed another instance is asked who has the
-/// duty; one may fail while it passes on.
+/// Consecutive failures after which another instance is asked for the
+/// coordinator's address. One exchange may fail while the duty passes to
+/// another instance.
 constexpr int failures_to_ask = 2;
-/// A runner that loads gets nothing until the next exchanges.
+/// How long a runner that loads weights gets no calls: until the next exchanges
+/// extend it.
 constexpr Micros loading_hold = std::chrono::milliseconds(350);
 
 } // namespace
@@ -53,14 +56,14 @@
 {
 }
 
-/// Returns what this instance tells its parent.
+/// Returns the request with this instance's report to its parent.
 ExchangeRequest
 ExchangeDuty::request(TimePoint now)
 {
     ExchangeRequest request;
     request.instance = m_state.settings.name;
-    // Only those that are to be asked speak for others: of two that asked each
-    // other, each would count the other's load as its own.
+    // Only parents report the load of others with their own: if two instances
+    // asked each other, each would count the other's load as its own.
     if (m_state.is_parent())
         request.load = m_desk.group_load(now);
     else
@@ -79,8 +82,8 @@
     return request;
 }
 
-/// Returns the address of the parent to ask at `now`; empty for none. Those
-/// that failed a moment ago come last, the earliest of them first.
+/// Returns the address of the parent to ask at `now`; empty for none. Parents
+/// that failed recently come last, the earliest failure first.
 std::string
 ExchangeDuty::choose_parent(TimePoint now)
 {
@@ -108,7 +111,7 @@
     }
     const std::string parent = choose_parent(monotonic_now());
     if (parent.empty())
-        throw Error(ErrorCode::LeaseLost, "no instance to ask is known");
+        throw Error(ErrorCode::LeaseLost, "no parent is known");
     if (parent != m_parent || !m_client) {
         m_client = std::make_unique<FleetClient>(parent);
         LogLine("parent_chosen").field("address", parent);
@@ -117,7 +120,7 @@
     return m_client->exchange(request);
 }
 
-/// Takes in what the parent answered to a question of `asked`.
+/// Applies the parent's response to a request that was sent at `asked`.
 void
 ExchangeDuty::take(const ExchangeResponse& response, TimePoint asked)
 {
@@ -151,7 +154,8 @@
             [now](FleetView& view) { view.reach.reached_by_another(now); });
 }
 
-/// Avoids a parent that has lost the holder of the duty, or its own parent.
+/// Avoids a parent that has lost contact with the coordinator or with its own
+/// parent.
 void
 ExchangeDuty::avoid_if_cut_off(const ExchangeResponse& response, TimePoint now)
 {
@@ -175,8 +179,8 @@
     }
 }
 
-/// Returns the pause between two exchanges. What others told their parent is up
-/// to one old when it is summed.
+/// Returns the pause between two exchanges. The load that other instances
+/// reported to their parent is up to one pause old when it is summed.
 Micros
 ExchangeDuty::pause()
 {
@@ -187,12 +191,13 @@
     return m_parent == holder ? exchange_pause : near_pause;
 }
 
-/// Returns the pause after an exchange that failed. Without the others the own
-/// load is all that is known.
+/// Handles a failed exchange, and returns the pause before the next one.
+/// Without responses, this instance knows only its own load.
 Micros
 ExchangeDuty::failed(const std::exception& failure)
 {
-    spdlog::debug("exchange with {}: {}", m_parent, failure.what());
+    spdlog::debug("exchange with parent {} failed: {}", m_parent,
+                  failure.what());
     const TimePoint now = monotonic_now();
     if (!m_parent.empty())
         m_avoided[m_parent] = now + avoided_for;
@@ -206,8 +211,8 @@
     return unlearned ? after_failure_unlearned : after_failure;
 }
 
-/// Asks one of the other instances who has the duty: the platform, which tells
-/// that first, may be out of reach from here.
+/// Asks a random other instance for the coordinator's address. The platform is
+/// its primary source, but may be unreachable from here.
 void
 ExchangeDuty::ask_for_holder()
 {
@@ -228,7 +233,8 @@
             [&](FleetView& view) { view.peer_reported_coordinator = holder; });
         LogLine("duty_holder_told").field("address", holder);
     } catch (const Error& failure) {
-        spdlog::debug("holder: {}", failure.what());
+        spdlog::debug("request for the coordinator's address failed: {}",
+                      failure.what());
     }
 }
 
--- a/src/serve/fleet/exchange_duty.h
+++ b/src/serve/fleet/exchange_duty.h
@@ -18,9 +18,10 @@
 namespace crosslink
 {
 
-/// Tells this instance's parent in the fleet's tree which load it gives to
-/// runners. Learns that of the others, what the platform tells, which runners
-/// load new weights, and where parts of prompts are kept.
+/// Reports the load that this instance puts on runners to its parent in the
+/// fleet's tree, several times a second. The response brings the load of the
+/// other instances, changes of the platform's store, which runners load new
+/// weights, and where parts of prompts are stored.
 class ExchangeDuty
 {
 public:
@@ -44,10 +45,10 @@
     ChangeReceiver& m_news;
     std::string m_parent;                  ///< Address; empty for none.
     std::unique_ptr<FleetClient> m_client; ///< To the parent.
-    /// Parents that did not answer, or knew nothing new, and until when they
-    /// are asked last.
+    /// Parents that did not answer, or had outdated data, and until when all
+    /// others are preferred to them.
     std::map<std::string, TimePoint> m_avoided;
-    int m_failures = 0; ///< In a row.
+    int m_failures = 0; ///< Consecutive failed exchanges.
     Duty m_duty;
 };
 
--- a/src/serve/fleet/exchange_handler.h
+++ b/src/serve/fleet/exchange_handler.h
@@ -19,31 +19,33 @@
 namespace crosslink
 {
 
-/// Answers the instances that ask this one: as the holder of the duty, or with
-/// what the own parent in the fleet's tree told, and the load of all that ask
-/// here. Safe for many threads.
+/// Handles the exchange requests of other instances. Answers as the
+/// coordinator, or else with the last response of this instance's own parent in
+/// the fleet's tree and the load of all instances that ask this one.
+/// Thread-safe.
 class ExchangeHandler
 {
 public:
     ExchangeHandler(ForwardState& state, Coordinator& coordinator,
                     ChangeReceiver& news);
 
-    /// Takes in what an instance tells of itself, and returns what it needs to
-    /// know of the fleet. Throws Error(LeaseLost).
+    /// Applies the report of an instance, and returns the state of the fleet
+    /// for it. Throws Error(LeaseLost).
     ExchangeResponse exchange(const ExchangeRequest& request);
-    /// Returns the load that the instances which ask here give to runners, and
-    /// this one's own.
+    /// Returns, by runner, the load of this instance and of all instances that
+    /// ask it.
     std::map<std::string, RunnerLoad> group_load(TimePoint now);
-    /// Takes in what the parent answered to a question of `asked`.
+    /// Stores the parent's response to a request that was sent at `asked`.
     void parent_told(const ExchangeResponse& response, TimePoint asked);
-    /// Returns the age at `now` of what the holder told; large before that.
+    /// Returns the age at `now` of the coordinator's data; 0 at the coordinator
+    /// itself, and very large before the first response.
     Micros age(TimePoint now);
 
 private:
-    /// What the parent told last.
+    /// The last response of the parent.
     struct Told {
         ExchangeResponse response;
-        TimePoint at{}; ///< As of when the holder told it.
+        TimePoint at{}; ///< When the coordinator sent its data.
     };
 
     ExchangeResponse handed_on(const ExchangeRequest& request, TimePoint now);
--- a/src/serve/fleet/exchange_json.cpp
+++ b/src/serve/fleet/exchange_json.cpp
@@ -46,11 +46,11 @@
     return load;
 }
 
-/// The space and the store of entries stand once for all ids that share them:
-/// {"SPACE": {"STORE": ["ID", ..]}}. With both beside each id, a directory of
-/// 3,000 parts took 280 KB, and 80 instances that ask a new holder for it
-/// filled its link of 10 Mbit/s for 18 s; so it takes 40 KB. Of several entries
-/// for one part only the last counts.
+/// Groups ids by space and store: {"SPACE": {"STORE": ["ID", ..]}}. A directory
+/// of 3,000 parts takes 40 KB this way. With space and store beside each id it
+/// took 280 KB, and 80 instances that requested it from a new coordinator
+/// filled its link of 10 Mbit/s for 18 s. Of several entries for one part, only
+/// the last is encoded.
 Json::Value
 entries_to_json(std::span<const KeptEntry> entries)
 {
@@ -154,10 +154,10 @@
     return {json_string(value, "runner"), json_span(value, "age_us")};
 }
 
-/// Calls stand by the runner that they were at, since one that ends has some
-/// tens: {"broken": [[RUNNER, BORN, AGE, DIGEST, AGAIN, DIGEST, ..]],
+/// Groups broken calls by runner, since a runner that ends breaks some tens of
+/// calls: {"broken": [[RUNNER, BORN, AGE, DIGEST, AGAIN, DIGEST, ..]],
 /// "answered": {DIGEST: AGE}, "held": {DIGEST: AGE}}, ages in microseconds.
-/// None where nothing is told, as nearly always.
+/// Empty members are left out; nearly always all are empty.
 Json::Value
 crashes_to_json(const CrashUpdate& news)
 {
@@ -213,8 +213,8 @@
     return news;
 }
 
-/// [RUNNER, BORN, CHANGE, HEARD, CALLS A SECOND]; the last one is left out
-/// where the limit ended.
+/// [RUNNER, BORN, CHANGE, HEARD, CALLS PER SECOND]; the rate is left out where
+/// the limit has ended.
 Json::Value
 limit_to_json(const LimitUpdate& news)
 {
--- a/src/serve/fleet/exchange_json.h
+++ b/src/serve/fleet/exchange_json.h
@@ -10,8 +10,8 @@
 namespace crosslink
 {
 
-// The JSON forms of an exchange. A member that is missing reads as 0, false or
-// empty. Decoding throws Error(BadJson) for rows that lack a field.
+// JSON encoding of an exchange. A missing member decodes as 0, false or empty.
+// Decoding throws Error(BadJson) for rows that lack a field.
 
 /// Encodes what an instance tells its parent.
 Json::Value to_json(const ExchangeRequest& request);
--- a/src/serve/fleet/exchange_json_test.cpp
+++ b/src/serve/fleet/exchange_json_test.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("an exchange brings the load and its memory")
+TEST_CASE("an exchange carries the load of runners with its KV memory")
 {
     ExchangeResponse response;
     response.others["r1"] = {3, 9000, 41'000};
@@ -39,7 +39,7 @@
     CHECK(read.others.at("r1").resident == 41'000);
 }
 
-TEST_CASE("an exchange brings the runners that may start anew")
+TEST_CASE("an exchange carries the runners that may have restarted")
 {
     const std::vector<ConnectionFailure> lost{
         {"r1", std::chrono::milliseconds(70)}};
@@ -59,7 +59,7 @@
     CHECK(read.loaded[0].start_ms == 77);
 }
 
-TEST_CASE("an exchange brings which requests runners ended under")
+TEST_CASE("an exchange carries the requests under which runners ended")
 {
     const Micros since_end = std::chrono::milliseconds(40);
     CrashUpdate news;
@@ -91,14 +91,14 @@
     CHECK(read.answered[0].since == news.answered[0].since);
 }
 
-TEST_CASE("an end without runner or age is refused")
+TEST_CASE("a runner's end without its name or age is rejected")
 {
     Json::Value value = to_json(ExchangeRequest());
     value["crashes"]["broken"].append(Json::Value(Json::arrayValue));
     CHECK_THROWS_AS(exchange_request_from_json(value), Error);
 }
 
-TEST_CASE("an exchange brings limits of runners, and their ends")
+TEST_CASE("an exchange carries limits of runners, and their ends")
 {
     ExchangeRequest request;
     request.limits = {{"r1", 7, 1.5, 3, 40}, {"r2", 0, no_rate_limit, 2, 9}};
@@ -119,7 +119,7 @@
     CHECK_THROWS_AS(exchange_request_from_json(value), Error);
 }
 
-TEST_CASE("an exchange brings how late stores are")
+TEST_CASE("an exchange carries how late stores are")
 {
     ExchangeRequest request;
     request.fetches = {{{"a:1", "z"}, 3, 250}};
@@ -137,7 +137,7 @@
     CHECK(read.fetches[0].age == std::chrono::milliseconds(30));
 }
 
-TEST_CASE("an exchange brings the news of the platform as they were written")
+TEST_CASE("an exchange carries changes of the platform's store unmodified")
 {
     ExchangeResponse response;
     response.age = std::chrono::milliseconds(120);
@@ -167,7 +167,7 @@
     CHECK_FALSE(read.news.entries[1].value);
 }
 
-TEST_CASE("an exchange brings runners that said that they leave")
+TEST_CASE("an exchange carries runners that announced that they leave")
 {
     ExchangeRequest request;
     request.leaving = {{"r1", 7}, {"r2", 0}};
@@ -179,14 +179,14 @@
     response.leaving = request.leaving;
     Json::Value value = to_json(response);
     CHECK(exchange_response_from_json(value).leaving.size() == 2);
-    // An instance of an earlier version tells none.
+    // An instance of an earlier version omits the member.
     value.removeMember("leaving");
     CHECK(exchange_response_from_json(value).leaving.empty());
     value["leaving"].append(Json::Value("r1"));
     CHECK_THROWS_AS(exchange_response_from_json(value), Error);
 }
 
-TEST_CASE("news that are cut or of another build are a typed error")
+TEST_CASE("a malformed page of changes is rejected with BadJson")
 {
     for (const char* row : {"[]", "[\"a\"]", "[\"a\",\"5\"]", "[5,5]",
                             "[\"a\",5,7]", "{\"a\":5}", "\"a\""}) {
@@ -203,7 +203,7 @@
     CHECK(news_from_json(Json::Value()).entries.empty());
 }
 
-TEST_CASE("an instance that knows nothing asks for all news")
+TEST_CASE("an instance that knows nothing asks for a snapshot")
 {
     ExchangeRequest request;
     CHECK_FALSE(exchange_request_from_json(to_json(request)).news_place);
@@ -211,7 +211,7 @@
     CHECK(exchange_request_from_json(to_json(request)).news_place == 0);
 }
 
-TEST_CASE("of several changes of a part the last one is told")
+TEST_CASE("of several changes of a part, the last one is encoded")
 {
     const auto response = answer_with({{"s", "a", "store"},
                                        {"s", "b", "store"},
@@ -225,7 +225,7 @@
     }
 }
 
-TEST_CASE("a whole directory takes a few bytes for each part")
+TEST_CASE("a complete directory takes a few bytes for each part")
 {
     constexpr std::size_t parts = 3000;
     constexpr std::size_t most_bytes_each = 32;
@@ -237,7 +237,7 @@
                            "172.20.0." + std::to_string(i % 30) + ":8528"});
     const std::string text =
         to_json(answer_with(std::move(entries))).toStyledString();
-    // Styled text has a line for each id, with its indent: the wire has less.
+    // Styled text has an indented line for each id: the wire format is smaller.
     CHECK(text.size() < parts * most_bytes_each);
 }
 
--- a/src/serve/fleet/feed_duty.cpp
+++ b/src/serve/fleet/feed_duty.cpp
@@ -22,33 +22,34 @@
 namespace
 {
 
-/// Longest wait of one question where nobody else depends on it. The platform
-/// may fall silent on a connection without closing it, and a change must be in
-/// force two seconds after the platform is stable again. Each question is a
-/// priced call.
+/// Longest wait of one request where no other instance depends on its answer.
+/// The platform may stop answering on a connection without closing it, and a
+/// change must be in force two seconds after the platform is stable again.
+/// Shorter waits would cost more requests, each of which is billed.
 constexpr Micros longest_wait = std::chrono::milliseconds(1800);
-/// The same where others learn the news from here: they take this instance for
-/// cut off from the platform when it has heard nothing for 1.2 s, and the way
-/// to them takes 0.3 s.
+/// The same where other instances get the changes from this one: they take it
+/// for cut off from the platform when it has had no answer for 1.2 s, and the
+/// transfer to them takes 0.3 s.
 constexpr Micros longest_wait_for_others = std::chrono::milliseconds(400);
-/// Pause between two questions, so that changes in quick succession come
+/// Pause between two requests, so that changes in quick succession arrive
 /// together.
 constexpr Micros least_pause = std::chrono::milliseconds(60);
-/// The same of an instance without the duty: many may ask at a time, for some
-/// seconds, and each answer is priced. Twenty of them that ask each 60 ms
-/// during a rollout make 300 calls a second (worked out).
+/// The same for an instance without the duty: many may ask at a time, for some
+/// seconds, and each answer is billed. Twenty of them that ask every 60 ms
+/// during a rollout would make 300 calls a second.
 constexpr Micros pause_without_duty = std::chrono::milliseconds(400);
-/// Pause between two looks whether others still tell the news.
+/// Pause between two checks whether other instances still deliver changes.
 constexpr Micros look_pause = std::chrono::milliseconds(100);
-/// When the news stop, those whom others ask turn to the platform at once, the
-/// others spread over this time: most are told again by then.
+/// When changes from other instances stop, parents ask the platform at once,
+/// and the rest at random times within this span: by then, most of them get
+/// changes from a parent again.
 constexpr Micros spread = std::chrono::milliseconds(300);
-/// The platform's store is tried again so soon.
+/// Pause after a failed request to the platform's store.
 constexpr Micros after_failure_time = std::chrono::milliseconds(250);
-/// While the platform is away, those whom nobody asks try it less often: they
-/// are told by others that it is back.
+/// The same for instances that no other asks: they learn from others when the
+/// platform is available again.
 constexpr Micros after_failure_below = std::chrono::milliseconds(1000);
-/// An instance that is gone is listed for this long at most.
+/// Longest time for which an instance that is gone stays listed.
 constexpr Micros presence_span = std::chrono::seconds(9);
 constexpr Micros presence_pause = std::chrono::seconds(3);
 
@@ -81,8 +82,8 @@
     }
 }
 
-/// Returns for how long the platform's news are left to others to tell;
-/// nothing where this instance is to ask itself.
+/// Returns how long to wait for changes from other instances; nothing where
+/// this instance is to ask the platform itself.
 std::optional<Micros>
 FeedDuty::leave_to_others()
 {
@@ -123,9 +124,10 @@
         return;
     }
     const ChangePage page = m_state.ports.feed.wait(*place, longest);
-    // An answer that tells nothing was held back for the whole wait. Counted
-    // from the question, the news were 0.4 s older than they are, and those
-    // two exchanges away took them for late.
+    // The platform sends an answer without changes at the end of the wait, so
+    // that it confirms the state as of then. Counted from the request, the
+    // state would seem 0.4 s older than it is, and instances two exchanges away
+    // would take it for late.
     const bool held_back =
         page.entries.empty() && monotonic_now() >= asked + longest;
     m_news.told_by_platform(page, held_back ? asked + longest : asked);
@@ -140,8 +142,9 @@
     return after_failure_below;
 }
 
-/// At a start while the platform is away: what another instance knows is old
-/// at worst, and the configuration never goes back.
+/// Gets the state of the platform's store from another instance, for a start
+/// during an outage of the platform. At worst that state is outdated, and the
+/// configuration never reverts.
 void
 FeedDuty::ask_seeds()
 {
--- a/src/serve/fleet/feed_duty.h
+++ b/src/serve/fleet/feed_duty.h
@@ -15,8 +15,9 @@
 namespace crosslink
 {
 
-/// Asks the platform what it tells the fleet, where this instance has the duty
-/// or others do not tell it in time, and keeps this instance listed as present.
+/// Requests changes of the platform's store where this instance has the duty,
+/// or does not get them from other instances in time. Also keeps this instance
+/// listed as present.
 class FeedDuty
 {
 public:
@@ -32,7 +33,8 @@
 
     ForwardState& m_state;
     ChangeReceiver& m_news;
-    /// When this instance asks itself, since others do not tell it in time.
+    /// When this instance asks the platform itself, since changes from other
+    /// instances are late; empty while they are in time.
     std::optional<TimePoint> m_own_turn;
     bool m_lost = false; ///< The platform does not answer.
     Duty m_feed;
--- a/src/serve/fleet/fleet_json.cpp
+++ b/src/serve/fleet/fleet_json.cpp
@@ -54,8 +54,8 @@
     return {json_string(value, "id"), json_uint32(value, "tokens")};
 }
 
-/// Values are text in the platform's own form; [KEY, REVISION] says that the
-/// key is gone.
+/// [KEY, REVISION, VALUE], with the value in the platform's own format, or
+/// [KEY, REVISION] where the key was removed.
 Json::Value
 entry_to_json(const KeyChange& entry)
 {
--- a/src/serve/fleet/fleet_json.h
+++ b/src/serve/fleet/fleet_json.h
@@ -16,13 +16,13 @@
 namespace crosslink
 {
 
-// The JSON forms of what instances of the fleet ask each other beside the
-// exchange. A member
-// that is missing reads as 0, false or empty.
+// JSON encoding of the calls between instances of the fleet, except for the
+// exchange. A missing member decodes as 0, false or empty.
 
 /// Encodes changes of the platform's store.
 Json::Value to_json(const ChangePage& page);
-/// Decodes them. Throws Error(BadJson) where one has no key or no revision.
+/// Decodes them. Throws Error(BadJson) where a change has no key or no
+/// revision.
 ChangePage news_from_json(const Json::Value& value);
 
 /// Encodes the parts of a prompt, and the space that they belong to.
@@ -30,12 +30,13 @@
                     std::span<const PromptPart> parts);
 /// Decodes the parts out of `value`.
 std::vector<PromptPart> parts_from_json(const Json::Value& value);
-/// Decodes the space out of `value`. Throws Error(BadRequest) where it is none.
+/// Decodes the space out of `value`. Throws Error(BadRequest) where it is
+/// invalid.
 KeptSpace kept_space_from_json(const Json::Value& value);
 
-/// Encodes where the parts of a prompt lie.
+/// Encodes where the parts of a prompt are stored.
 Json::Value to_json(const KeptAnswer& answer);
-/// Decodes it. A kind that is not known reads as KeptPlace::Kind::None.
+/// Decodes it. An unknown kind decodes as KeptPlace::Kind::None.
 KeptAnswer kept_answer_from_json(const Json::Value& value);
 
 } // namespace crosslink
--- a/src/serve/fleet/fleet_rpc.cpp
+++ b/src/serve/fleet/fleet_rpc.cpp
@@ -28,11 +28,11 @@
 constexpr int success = 200;
 constexpr int server_threads = 64;
 constexpr std::uint64_t most_body_bytes = 1U << 20U;
-/// A question for kept parts must be worth its time: a prompt of a few
-/// thousand tokens is read in about 100 ms.
+/// Timeout of most calls. Looking up stored parts must not take longer than
+/// reading the prompt: a few thousand tokens are read in about 100 ms.
 constexpr Micros question_time = std::chrono::milliseconds(80);
-/// A whole copy of the directory, or of what the platform told, is some hundred
-/// kilobytes, and no call waits for it.
+/// Timeout where the answer may be a complete copy of the directory or of the
+/// platform's store: some hundred kilobytes. No caller waits for it.
 constexpr Micros large_answer_time = std::chrono::milliseconds(600);
 constexpr Micros connect_time = std::chrono::milliseconds(60);
 
@@ -127,7 +127,8 @@
     KeptAnswer answer =
         kept_answer_from_json(call(ask_kept_method, parameters, question_time));
     if (answer.places.size() != parts.size())
-        throw Error(ErrorCode::PeerUnavailable, "not one place per part");
+        throw Error(ErrorCode::PeerUnavailable,
+                    "the number of places differs from the number of parts");
     return answer;
 }
 
--- a/src/serve/fleet/fleet_rpc.h
+++ b/src/serve/fleet/fleet_rpc.h
@@ -19,14 +19,14 @@
 
 class RpcServer;
 
-/// What an instance knows of the platform's store, and how long ago the
-/// platform told that it is all.
+/// What an instance knows of the platform's store, and the time since the
+/// platform confirmed that this is complete.
 struct ToldNews {
     ChangePage page;
     Micros age{0};
 };
 
-/// Answers the calls of the other instances of the fleet, by JSON-RPC.
+/// JSON-RPC server for the calls of other instances of the fleet.
 class FleetServer
 {
 public:
@@ -39,7 +39,8 @@
     std::unique_ptr<HttpServer> m_server;
 };
 
-/// Calls to another instance. Throws Error(PeerUnavailable).
+/// JSON-RPC client for calls to another instance. They throw
+/// Error(PeerUnavailable).
 class FleetClient
 {
 public:
@@ -54,11 +55,11 @@
                       std::span<const PromptPart> parts);
     /// See Coordinator::stop_answering().
     bool stop_answering(std::uint64_t token, const std::string& address);
-    /// Returns the address of the duty's holder as that instance knows it;
-    /// empty for none.
+    /// Returns the coordinator's address as that instance knows it; empty for
+    /// none.
     std::string holder();
-    /// Returns all that this instance knows of the platform's store; a page
-    /// that is not whole where it knows nothing.
+    /// Returns all that the other instance knows of the platform's store; a
+    /// page that is no snapshot where it knows nothing.
     ToldNews news();
     /// See ExchangeHandler::exchange().
     ExchangeResponse exchange(const ExchangeRequest& request);
