--- a/src/build-scripts/mutate.py
+++ b/src/build-scripts/mutate.py
@@ -140,7 +140,7 @@
      "src/libcrosslink/membership/fleet_tree.cpp",
      "if (!is_parent(name, zone)) {", "if (false) {", "unit.*zone|unit.*none"),
     ("go on with old news", "src/serve/fleet/change_receiver.cpp",
-     "now - m_told_confirmed <= in_time", "now >= m_told_confirmed",
+     "now - m_peer_confirmed <= max_peer_age", "now >= m_peer_confirmed",
      "platform.changes_reach|platform.a_large_fleet"),
     ("take told prompts as unread",
      "src/libcrosslink/forward/runner_price.cpp",
--- a/src/include/crosslink/base/bounded_ring.h
+++ b/src/include/crosslink/base/bounded_ring.h
@@ -39,7 +39,7 @@
     {
         std::unique_lock lock(m_mutex);
         m_changed.wait(lock, [this] { return m_closed || !m_items.empty(); });
-        return take();
+        return pop_locked();
     }
 
     /// Waits for an item for at most `wait`. Returns nothing where none
@@ -49,7 +49,7 @@
         std::unique_lock lock(m_mutex);
         m_changed.wait_for(lock, wait,
                            [this] { return m_closed || !m_items.empty(); });
-        return take();
+        return pop_locked();
     }
 
     /// Returns whether the ring is closed and empty.
@@ -63,7 +63,7 @@
     std::optional<T> try_pop()
     {
         const std::lock_guard lock(m_mutex);
-        return take();
+        return pop_locked();
     }
 
     /// Rejects further items; pop() returns nothing once the ring is empty.
@@ -78,7 +78,7 @@
 
 private:
     /// As try_pop(), with the mutex held by the caller.
-    std::optional<T> take()
+    std::optional<T> pop_locked()
     {
         if (m_items.empty())
             return std::nullopt;
--- a/src/include/crosslink/base/invariants.h
+++ b/src/include/crosslink/base/invariants.h
@@ -34,7 +34,7 @@
     /// The counters of this process.
     static InvariantCounters& instance();
     /// Counts one violation.
-    void breached(Invariant invariant);
+    void add_violation(Invariant invariant);
     /// Returns how often `invariant` was violated since the start.
     std::uint64_t count(Invariant invariant) const;
 
--- a/src/include/crosslink/base/json.h
+++ b/src/include/crosslink/base/json.h
@@ -35,7 +35,7 @@
 std::uint32_t json_uint32(const Json::Value& object, const char* name,
                           std::uint32_t fallback = 0);
 /// Returns the field `name`, an integer of microseconds, or 0.
-Micros json_span(const Json::Value& object, const char* name);
+Micros json_micros(const Json::Value& object, const char* name);
 /// Returns the number field `name`, or `fallback`.
 double json_double(const Json::Value& object, const char* name,
                    double fallback = 0);
@@ -66,7 +66,7 @@
     return items;
 }
 
-/// Returns an array of strings.
+/// Returns `texts` as an array of strings.
 template<typename Texts>
 Json::Value
 json_strings(const Texts& texts)
--- a/src/include/crosslink/base/number.h
+++ b/src/include/crosslink/base/number.h
@@ -61,7 +61,7 @@
 /// Returns the finite number of at least 0 that `text` consists of, in decimal
 /// notation without exponent; nothing for any other text.
 inline std::optional<double>
-decimal_number(std::string_view text)
+parse_decimal(std::string_view text)
 {
     const char* end = text.data() + text.size();
     double number = 0;
@@ -84,7 +84,7 @@
 
 /// Returns `text` without leading and trailing spaces.
 inline std::string_view
-without_outer_spaces(std::string_view text)
+trim_spaces(std::string_view text)
 {
     text = without_leading_spaces(text);
     while (text.ends_with(' '))
--- a/src/include/crosslink/base/retry_after.h
+++ b/src/include/crosslink/base/retry_after.h
@@ -19,11 +19,11 @@
 inline std::optional<Micros>
 retry_after_time(std::string_view text)
 {
-    constexpr double longest_s = 24 * 3600;
-    const auto told = decimal_number(without_outer_spaces(text));
-    if (!told)
+    constexpr double max_seconds = 24 * 3600;
+    const auto value = parse_decimal(trim_spaces(text));
+    if (!value)
         return std::nullopt;
-    return from_seconds(std::min(*told, longest_s));
+    return from_seconds(std::min(*value, max_seconds));
 }
 
 } // namespace crosslink
--- a/src/include/crosslink/configuration/configuration_state.h
+++ b/src/include/crosslink/configuration/configuration_state.h
@@ -44,6 +44,6 @@
 /// member of the zone must have answered: an instance that starts during a
 /// network partition must not serve a revision older than what its zone already
 /// serves.
-bool may_start_serving(const StartupReplies& evidence, std::uint64_t revision);
+bool may_start_serving(const StartupReplies& replies, std::uint64_t revision);
 
 } // namespace crosslink
--- a/src/include/crosslink/configuration/template_set.h
+++ b/src/include/crosslink/configuration/template_set.h
@@ -47,31 +47,31 @@
     std::map<std::string, std::string> parts() const;
 
 private:
-    struct Declared {
+    struct Declaration {
         std::string file;
-        std::string place;
+        std::string path;
         Json::Value body;
     };
 
-    void mistake(const Declared& where, const std::string& field,
-                 const std::string& what);
+    void report_mistake(const Declaration& where, const std::string& field,
+                        const std::string& what);
     void add_list(const std::string& file, const Json::Value& document,
-                  const char* list, std::map<std::string, Declared>& into);
+                  const char* list, std::map<std::string, Declaration>& into);
     /// Policies by template and parameter values; null where they have
     /// mistakes.
-    using TermsCache =
+    using PolicyCache =
         std::map<std::string, std::shared_ptr<const AccountPolicy>>;
 
-    void check_templates(TermsCache& cache);
-    bool expand(const Declared& declared, const std::string& name,
-                TermsCache& cache, ClientAccount& account);
-    std::shared_ptr<const AccountPolicy> terms_of(const Declared& declared,
-                                                  const Json::Value& values,
-                                                  const std::string& account,
-                                                  TermsCache& cache);
+    void check_templates(PolicyCache& cache);
+    bool expand(const Declaration& declared, const std::string& name,
+                PolicyCache& cache, ClientAccount& account);
+    std::shared_ptr<const AccountPolicy> policy_for(const Declaration& declared,
+                                                    const Json::Value& values,
+                                                    const std::string& account,
+                                                    PolicyCache& cache);
 
-    std::map<std::string, Declared> m_templates;
-    std::map<std::string, Declared> m_accounts;
+    std::map<std::string, Declaration> m_templates;
+    std::map<std::string, Declaration> m_accounts;
     std::vector<TemplateMistake> m_mistakes;
 };
 
--- a/src/include/crosslink/relay/relay.h
+++ b/src/include/crosslink/relay/relay.h
@@ -50,7 +50,7 @@
     std::string m_version;
     std::string m_run_id;
     std::uint32_t m_next_index = 0;
-    std::uint32_t m_continued_from = 0; ///< First index of this attempt.
+    std::uint32_t m_first_index = 0; ///< First index of this attempt.
     std::string m_text;
     bool m_finished = false;
     std::uint32_t m_prompt_tokens = 0;
--- a/src/libcrosslink/base/error.cpp
+++ b/src/libcrosslink/base/error.cpp
@@ -60,7 +60,7 @@
               "every error code has a row");
 
 const ErrorInfo&
-row(ErrorCode code)
+info_of(ErrorCode code)
 {
     return table.at(static_cast<std::size_t>(code));
 }
@@ -90,13 +90,13 @@
 std::string_view
 error_name(ErrorCode code)
 {
-    return row(code).name;
+    return info_of(code).name;
 }
 
 int
 error_status(ErrorCode code)
 {
-    return row(code).http_status;
+    return info_of(code).http_status;
 }
 
 Error::Error(ErrorCode code, const std::string& detail, RunState run_state,
--- a/src/libcrosslink/base/invariants.cpp
+++ b/src/libcrosslink/base/invariants.cpp
@@ -41,7 +41,7 @@
 }
 
 void
-InvariantCounters::breached(Invariant invariant)
+InvariantCounters::add_violation(Invariant invariant)
 {
     ++m_counts.at(static_cast<std::size_t>(invariant));
 }
@@ -57,7 +57,7 @@
 {
     if (holds)
         return;
-    InvariantCounters::instance().breached(invariant);
+    InvariantCounters::instance().add_violation(invariant);
     throw Error(ErrorCode::Internal,
                 "invariant broken: " + std::string(invariant_name(invariant)),
                 RunState::MayHaveRun);
--- a/src/libcrosslink/base/json.cpp
+++ b/src/libcrosslink/base/json.cpp
@@ -80,7 +80,7 @@
 }
 
 Micros
-json_span(const Json::Value& object, const char* name)
+json_micros(const Json::Value& object, const char* name)
 {
     return Micros(static_cast<Micros::rep>(json_uint64(object, name)));
 }
--- a/src/libcrosslink/configuration/account_reader.cpp
+++ b/src/libcrosslink/configuration/account_reader.cpp
@@ -23,52 +23,53 @@
 void
 read_model(FieldReader& reader, ModelGrant& grant)
 {
-    reader.text("model", grant.model, true);
-    reader.text("version", grant.version, true);
-    reader.texts("adapters", grant.adapters);
+    reader.string("model", grant.model, true);
+    reader.string("version", grant.version, true);
+    reader.strings("adapters", grant.adapters);
 }
 
 void
 read_service(FieldReader& reader, PlainServiceGrant& grant)
 {
-    reader.text("service", grant.service, true);
-    reader.text("path_prefix", grant.path_prefix, true);
+    reader.string("service", grant.service, true);
+    reader.string("path_prefix", grant.path_prefix, true);
     if (!grant.path_prefix.starts_with('/'))
-        reader.wrong("path_prefix", "must begin with '/'");
+        reader.report_mistake("path_prefix", "must begin with '/'");
     if (grant.path_prefix.starts_with("/v1/"))
-        reader.wrong("path_prefix", "must not cover crosslink's own /v1/");
+        reader.report_mistake("path_prefix",
+                              "must not cover crosslink's own /v1/");
     reader.objects("not_repeatable", [&grant](FieldReader& item) {
         NotRepeatable& call = grant.not_repeatable.emplace_back();
-        item.text("method", call.method, true);
-        item.text("path_prefix", call.path_prefix, true);
+        item.string("method", call.method, true);
+        item.string("path_prefix", call.path_prefix, true);
     });
 }
 
 void
 read_split(FieldReader& reader, TrafficSplit& split)
 {
-    reader.text("call_class", split.call_class, true);
-    reader.text("old_service", split.old_service, true);
-    reader.whole("new_share", split.new_share, 0, all_callers);
+    reader.string("call_class", split.call_class, true);
+    reader.string("old_service", split.old_service, true);
+    reader.integer("new_share", split.new_share, 0, all_callers);
 }
 
 void
 read_limits(FieldReader& reader, AccountLimits& limits)
 {
-    reader.real("requests_per_second", limits.requests_per_second, 0.01,
-                max_rate);
-    reader.real("tokens_per_second", limits.tokens_per_second, 1,
-                max_token_rate);
-    reader.whole("concurrent", limits.concurrent, 1, max_concurrent);
-    reader.whole("kept_bytes", limits.kept_bytes, 0,
-                 std::numeric_limits<std::uint64_t>::max());
+    reader.number("requests_per_second", limits.requests_per_second, 0.01,
+                  max_rate);
+    reader.number("tokens_per_second", limits.tokens_per_second, 1,
+                  max_token_rate);
+    reader.integer("concurrent", limits.concurrent, 1, max_concurrent);
+    reader.integer("kept_bytes", limits.kept_bytes, 0,
+                   std::numeric_limits<std::uint64_t>::max());
 }
 
 void
 read_milliseconds(FieldReader& reader, const char* name, Micros& value)
 {
     std::uint64_t millis = static_cast<std::uint64_t>(value.count()) / 1000;
-    reader.whole(name, millis, 1, max_objective_ms);
+    reader.integer(name, millis, 1, max_objective_ms);
     value = std::chrono::milliseconds(millis);
 }
 
@@ -77,57 +78,59 @@
 {
     read_milliseconds(reader, "first_token_ms", objectives.first_token);
     read_milliseconds(reader, "between_tokens_ms", objectives.between_tokens);
-    reader.real("target_share", objectives.target_share, 0, 1);
-    reader.real("answered_share", objectives.answered_share, 0, 1);
+    reader.number("target_share", objectives.target_share, 0, 1);
+    reader.number("answered_share", objectives.answered_share, 0, 1);
 }
 
 void
 read_undated_keys(FieldReader& reader, UndatedKeyPolicy& value)
 {
     std::string text;
-    reader.text("undated_keys", text);
+    reader.string("undated_keys", text);
     if (text == "remember")
         value = UndatedKeyPolicy::Remember;
     else if (!text.empty() && text != "refuse")
-        reader.wrong("undated_keys", "must be \"refuse\" or \"remember\"");
+        reader.report_mistake("undated_keys",
+                              "must be \"refuse\" or \"remember\"");
 }
 
 } // namespace
 
 void
-read_account_policy(FieldReader& reader, AccountPolicy& terms)
+read_account_policy(FieldReader& reader, AccountPolicy& policy)
 {
-    reader.objects("models", [&terms](FieldReader& item) {
-        read_model(item, terms.models.emplace_back());
+    reader.objects("models", [&policy](FieldReader& item) {
+        read_model(item, policy.models.emplace_back());
     });
-    reader.objects("plain_services", [&terms](FieldReader& item) {
-        read_service(item, terms.plain_services.emplace_back());
+    reader.objects("plain_services", [&policy](FieldReader& item) {
+        read_service(item, policy.plain_services.emplace_back());
     });
-    reader.objects("splits", [&terms](FieldReader& item) {
-        read_split(item, terms.splits.emplace_back());
+    reader.objects("splits", [&policy](FieldReader& item) {
+        read_split(item, policy.splits.emplace_back());
     });
-    reader.whole("priority", terms.priority, 0, max_priority);
-    reader.real("weight", terms.weight, 0.01, 1000);
-    reader.object("limits", [&terms](FieldReader& item) {
-        read_limits(item, terms.limits);
+    reader.integer("priority", policy.priority, 0, max_priority);
+    reader.number("weight", policy.weight, 0.01, 1000);
+    reader.object("limits", [&policy](FieldReader& item) {
+        read_limits(item, policy.limits);
     });
-    reader.object("objectives", [&terms](FieldReader& item) {
-        read_objectives(item, terms.objectives);
+    reader.object("objectives", [&policy](FieldReader& item) {
+        read_objectives(item, policy.objectives);
     });
-    read_undated_keys(reader, terms.undated_keys);
+    read_undated_keys(reader, policy.undated_keys);
 }
 
 void
 read_key_hashes(FieldReader& reader, ClientAccount& account)
 {
     std::vector<std::string> hashes;
-    reader.texts("key_hashes", hashes);
+    reader.strings("key_hashes", hashes);
     for (const std::string& hash : hashes) {
         try {
             account.key_hashes.push_back(Digest::from_hex(hash));
         } catch (const Error&) {
-            reader.wrong("key_hashes",
-                         "must hold SHA-256 hashes of 64 hexadecimal digits");
+            reader.report_mistake(
+                "key_hashes",
+                "must hold SHA-256 hashes of 64 hexadecimal digits");
         }
     }
 }
--- a/src/libcrosslink/configuration/configuration_commit.cpp
+++ b/src/libcrosslink/configuration/configuration_commit.cpp
@@ -14,12 +14,12 @@
 
 /// Attempts at a write whose outcome is unknown; after each, the record is read
 /// back.
-constexpr int most_rounds = 5;
+constexpr int max_attempts = 5;
 
 void
 write_part(Platform& platform, const Digest& digest, const std::string& text)
 {
-    for (int round = 0; round < most_rounds; ++round) {
+    for (int attempt = 0; attempt < max_attempts; ++attempt) {
         try {
             // The key holds the digest: a record that exists has the same text.
             platform.write_if(configuration_part_key(digest), text, 0);
@@ -36,7 +36,7 @@
 }
 
 [[noreturn]] void
-lost_to(const ConfigurationHead& winner)
+throw_conflict(const ConfigurationHead& winner)
 {
     throw Error(ErrorCode::RevisionConflict,
                 "another change was faster: revision " +
@@ -66,7 +66,7 @@
         write_part(platform, digests[name], text);
     }
     ConfigurationHead next = base.head.next(digests, change);
-    for (int round = 0; round < most_rounds; ++round) {
+    for (int attempt = 0; attempt < max_attempts; ++attempt) {
         try {
             const SwapOutcome outcome = platform.write_if(
                 configuration_head_key, next.to_json(), base.version);
@@ -82,7 +82,7 @@
         if (now.head.has_change(change.change_id))
             return next;
         if (now.version != base.version)
-            lost_to(now.head);
+            throw_conflict(now.head);
     }
     throw Error(ErrorCode::PlatformOutcomeUnknown,
                 "it is unknown whether the change is in place");
@@ -92,12 +92,12 @@
 remove_old_parts(Platform& platform, const ConfigurationHead& head,
                  const ConfigurationHead& before)
 {
-    std::set<std::string> wanted;
+    std::set<std::string> referenced;
     for (const auto* kept : {&head, &before})
         for (const auto& [name, digest] : kept->parts)
-            wanted.insert(configuration_part_key(digest));
+            referenced.insert(configuration_part_key(digest));
     for (const NamedRecord& record : platform.list(configuration_part_prefix))
-        if (!wanted.contains(record.key))
+        if (!referenced.contains(record.key))
             platform.remove_if(record.key, record.record.version);
 }
 
--- a/src/libcrosslink/configuration/configuration_head.cpp
+++ b/src/libcrosslink/configuration/configuration_head.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr std::size_t kept_history = 50;
+constexpr std::size_t max_history = 50;
 
 Json::Value
 change_to_json(const ConfigurationChange& change)
@@ -64,7 +64,7 @@
     head.history = history;
     change.revision = head.revision;
     head.history.push_back(std::move(change));
-    if (head.history.size() > kept_history)
+    if (head.history.size() > max_history)
         head.history.erase(head.history.begin());
     return head;
 }
--- a/src/libcrosslink/configuration/configuration_state.cpp
+++ b/src/libcrosslink/configuration/configuration_state.cpp
@@ -37,14 +37,14 @@
 }
 
 bool
-may_start_serving(const StartupReplies& evidence, std::uint64_t revision)
+may_start_serving(const StartupReplies& replies, std::uint64_t revision)
 {
     if (revision == 0)
         return false;
-    if (evidence.platform_answered)
+    if (replies.platform_answered)
         return true;
-    return evidence.zone_members > 0 &&
-           evidence.zone_answered == evidence.zone_members;
+    return replies.zone_members > 0 &&
+           replies.zone_answered == replies.zone_members;
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/configuration/configuration_state_test.cpp
+++ b/src/libcrosslink/configuration/configuration_state_test.cpp
@@ -52,17 +52,17 @@
 
 TEST_CASE("a start without the platform requires answers from the whole zone")
 {
-    StartupReplies evidence;
-    CHECK_FALSE(may_start_serving(evidence, 3));
-    evidence.zone_members = 2;
-    evidence.zone_answered = 1;
-    CHECK_FALSE(may_start_serving(evidence, 3));
-    evidence.zone_answered = 2;
-    CHECK(may_start_serving(evidence, 3));
-    CHECK_FALSE(may_start_serving(evidence, 0));
-    evidence = {};
-    evidence.platform_answered = true;
-    CHECK(may_start_serving(evidence, 3));
+    StartupReplies replies;
+    CHECK_FALSE(may_start_serving(replies, 3));
+    replies.zone_members = 2;
+    replies.zone_answered = 1;
+    CHECK_FALSE(may_start_serving(replies, 3));
+    replies.zone_answered = 2;
+    CHECK(may_start_serving(replies, 3));
+    CHECK_FALSE(may_start_serving(replies, 0));
+    replies = {};
+    replies.platform_answered = true;
+    CHECK(may_start_serving(replies, 3));
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/configuration/field_reader.cpp
+++ b/src/libcrosslink/configuration/field_reader.cpp
@@ -23,95 +23,96 @@
 
 } // namespace
 
-FieldReader::FieldReader(const Json::Value& object, std::string place,
+FieldReader::FieldReader(const Json::Value& object, std::string path,
                          Report report)
-    : m_object(object), m_place(std::move(place)), m_report(std::move(report))
+    : m_object(object), m_path(std::move(path)), m_report(std::move(report))
 {
     if (!m_object.isObject())
-        m_report(m_place, "must be an object");
+        m_report(m_path, "must be an object");
 }
 
 std::string
-FieldReader::place_of(const std::string& name) const
+FieldReader::path_of(const std::string& name) const
 {
-    return m_place.empty() ? name : m_place + "." + name;
+    return m_path.empty() ? name : m_path + "." + name;
 }
 
 void
-FieldReader::wrong(const std::string& name, const std::string& what) const
+FieldReader::report_mistake(const std::string& name,
+                            const std::string& what) const
 {
-    m_report(place_of(name), what);
+    m_report(path_of(name), what);
 }
 
 const Json::Value&
-FieldReader::any(const char* name)
+FieldReader::raw(const char* name)
 {
     static const Json::Value absent;
-    m_asked.emplace_back(name);
+    m_read.emplace_back(name);
     if (!m_object.isObject() || !m_object.isMember(name))
         return absent;
     return m_object[name];
 }
 
 void
-FieldReader::text(const char* name, std::string& value, bool required)
+FieldReader::string(const char* name, std::string& value, bool required)
 {
-    const Json::Value& found = any(name);
+    const Json::Value& found = raw(name);
     if (found.isString() && !found.asString().empty())
         value = found.asString();
     else if (required || !found.isNull())
-        wrong(name, "must be a text of one character or more");
+        report_mistake(name, "must be a text of one character or more");
 }
 
 void
-FieldReader::texts(const char* name, std::vector<std::string>& value)
+FieldReader::strings(const char* name, std::vector<std::string>& value)
 {
-    const Json::Value& found = any(name);
+    const Json::Value& found = raw(name);
     if (found.isNull())
         return;
     if (!found.isArray()) {
-        wrong(name, "must be a list of texts");
+        report_mistake(name, "must be a list of texts");
         return;
     }
     for (const Json::Value& item : found) {
         if (item.isString())
             value.push_back(item.asString());
         else
-            wrong(name, "must hold texts only");
+            report_mistake(name, "must hold texts only");
     }
 }
 
 void
-FieldReader::real(const char* name, double& value, double low, double high)
+FieldReader::number(const char* name, double& value, double low, double high)
 {
-    const Json::Value& found = any(name);
+    const Json::Value& found = raw(name);
     if (found.isNull())
         return;
     if (!found.isNumeric() || found.asDouble() < low || found.asDouble() > high)
-        wrong(name, range_text("number", low, high));
+        report_mistake(name, range_text("number", low, high));
     else
         value = found.asDouble();
 }
 
 void
-FieldReader::whole(const char* name, std::uint64_t& value, std::uint64_t low,
-                   std::uint64_t high)
+FieldReader::integer(const char* name, std::uint64_t& value, std::uint64_t low,
+                     std::uint64_t high)
 {
-    const Json::Value& found = any(name);
+    const Json::Value& found = raw(name);
     if (found.isNull())
         return;
     if (!found.isUInt64() || found.asUInt64() < low || found.asUInt64() > high)
-        wrong(name, range_text("whole number", low, high));
+        report_mistake(name, range_text("whole number", low, high));
     else
         value = found.asUInt64();
 }
 
 void
-FieldReader::whole(const char* name, std::uint32_t& value, std::uint32_t low,
-                   std::uint32_t high)
+FieldReader::integer(const char* name, std::uint32_t& value, std::uint32_t low,
+                     std::uint32_t high)
 {
     std::uint64_t wide = value;
-    whole(name, wide, std::uint64_t{low}, std::uint64_t{high});
+    integer(name, wide, std::uint64_t{low}, std::uint64_t{high});
     value = static_cast<std::uint32_t>(wide);
 }
 
@@ -119,17 +120,16 @@
 FieldReader::objects(const char* name,
                      const std::function<void(FieldReader& reader)>& item)
 {
-    const Json::Value& found = any(name);
+    const Json::Value& found = raw(name);
     if (found.isNull())
         return;
     if (!found.isArray()) {
-        wrong(name, "must be a list of objects");
+        report_mistake(name, "must be a list of objects");
         return;
     }
     for (Json::ArrayIndex i = 0; i < found.size(); ++i) {
-        const std::string place =
-            place_of(name) + "[" + std::to_string(i) + "]";
-        FieldReader reader(found[i], place, m_report);
+        const std::string path = path_of(name) + "[" + std::to_string(i) + "]";
+        FieldReader reader(found[i], path, m_report);
         item(reader);
         reader.finish();
     }
@@ -139,10 +139,10 @@
 FieldReader::object(const char* name,
                     const std::function<void(FieldReader& reader)>& item)
 {
-    const Json::Value& found = any(name);
+    const Json::Value& found = raw(name);
     if (found.isNull())
         return;
-    FieldReader reader(found, place_of(name), m_report);
+    FieldReader reader(found, path_of(name), m_report);
     item(reader);
     reader.finish();
 }
@@ -153,10 +153,10 @@
     if (!m_object.isObject())
         return;
     for (const std::string& name : m_object.getMemberNames()) {
-        const bool asked =
-            std::find(m_asked.begin(), m_asked.end(), name) != m_asked.end();
-        if (!asked)
-            wrong(name, "is not a known field");
+        const bool is_read =
+            std::find(m_read.begin(), m_read.end(), name) != m_read.end();
+        if (!is_read)
+            report_mistake(name, "is not a known field");
     }
 }
 
--- a/src/libcrosslink/configuration/parameters.cpp
+++ b/src/libcrosslink/configuration/parameters.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr const char* marker = "$parameter";
+constexpr const char* parameter_key = "$parameter";
 
 bool
 in_range(const Json::Value& rule, const Json::Value& value)
@@ -38,7 +38,7 @@
 
 /// Returns what is wrong with `value`, or an empty text.
 std::string
-problem_of(const Json::Value& rule, const Json::Value& value)
+error_of(const Json::Value& rule, const Json::Value& value)
 {
     const bool has_range = rule.isMember("minimum") || rule.isMember("maximum");
     if (has_range && !in_range(rule, value))
@@ -59,11 +59,11 @@
     if (declared.isObject()) {
         for (const std::string& name : declared.getMemberNames()) {
             const Json::Value& rule = declared[name];
-            const bool own = given.isObject() && given.isMember(name);
-            const Json::Value& value = own ? given[name] : rule["default"];
+            const bool is_given = given.isObject() && given.isMember(name);
+            const Json::Value& value = is_given ? given[name] : rule["default"];
             if (value.isNull())
                 report("parameters." + name, "has no value and no default");
-            else if (const auto what = problem_of(rule, value); !what.empty())
+            else if (const auto what = error_of(rule, value); !what.empty())
                 report("parameters." + name, what);
             values[name] = value;
         }
@@ -80,8 +80,8 @@
 fill_parameters(const Json::Value& body, const Json::Value& values,
                 const ParameterReport& report)
 {
-    if (body.isObject() && body.isMember(marker)) {
-        const std::string name = json_string(body, marker);
+    if (body.isObject() && body.isMember(parameter_key)) {
+        const std::string name = json_string(body, parameter_key);
         if (values.isMember(name))
             return values[name];
         report("parameters." + name, "is used but not declared");
--- a/src/libcrosslink/configuration/template_set.cpp
+++ b/src/libcrosslink/configuration/template_set.cpp
@@ -17,28 +17,29 @@
 
 /// Accounts are distributed over this many parts, so that a change is small and
 /// no part comes near the platform's limit of one megabyte for a value.
-constexpr std::uint64_t account_parts = 32;
+constexpr std::uint64_t account_part_count = 32;
 constexpr const char* templates_part = "templates";
 
 std::string
-part_of(const std::string& account)
+part_name(const std::string& account)
 {
-    const auto number = sha256(account).prefix() % account_parts;
+    const auto number = sha256(account).prefix() % account_part_count;
     return "accounts-" + std::to_string(number);
 }
 
 } // namespace
 
 void
-TemplateSet::mistake(const Declared& where, const std::string& field,
-                     const std::string& what)
+TemplateSet::report_mistake(const Declaration& where, const std::string& field,
+                            const std::string& what)
 {
     m_mistakes.push_back({where.file, field, what});
 }
 
 void
 TemplateSet::add_list(const std::string& file, const Json::Value& document,
-                      const char* list, std::map<std::string, Declared>& into)
+                      const char* list,
+                      std::map<std::string, Declaration>& into)
 {
     const Json::Value& items = document[list];
     if (!items.isNull() && !items.isArray()) {
@@ -46,18 +47,18 @@
         return;
     }
     for (Json::ArrayIndex i = 0; i < items.size(); ++i) {
-        const std::string place =
+        const std::string path =
             std::string(list) + "[" + std::to_string(i) + "]";
         const std::string name = json_string(items[i], "name");
         if (name.empty()) {
-            m_mistakes.push_back({file, place + ".name", "must be a text"});
+            m_mistakes.push_back({file, path + ".name", "must be a text"});
             continue;
         }
-        const auto [at, fresh] =
-            into.try_emplace(name, Declared{file, place, items[i]});
-        if (!fresh)
+        const auto [at, inserted] =
+            into.try_emplace(name, Declaration{file, path, items[i]});
+        if (!inserted)
             m_mistakes.push_back(
-                {file, place + ".name", "is declared twice: " + name});
+                {file, path + ".name", "is declared twice: " + name});
     }
 }
 
@@ -76,65 +77,66 @@
 }
 
 bool
-TemplateSet::expand(const Declared& declared, const std::string& name,
-                    TermsCache& cache, ClientAccount& account)
+TemplateSet::expand(const Declaration& declared, const std::string& name,
+                    PolicyCache& cache, ClientAccount& account)
 {
     const std::size_t before = m_mistakes.size();
     const auto report = [&](const std::string& field, const std::string& what) {
-        mistake(declared, field, what);
+        report_mistake(declared, field, what);
     };
-    pvt::FieldReader reader(declared.body, declared.place, report);
+    pvt::FieldReader reader(declared.body, declared.path, report);
     std::string template_name;
     account.name = name;
-    reader.any("name");
-    reader.text("template", template_name, true);
+    reader.raw("name");
+    reader.string("template", template_name, true);
     pvt::read_key_hashes(reader, account);
-    const Json::Value& given = reader.any("parameters");
+    const Json::Value& given = reader.raw("parameters");
     reader.finish();
     const auto found = m_templates.find(template_name);
     if (found == m_templates.end()) {
-        reader.wrong("template", "names no template that is declared");
+        reader.report_mistake("template", "names no template that is declared");
         return false;
     }
     const auto in_account = [&](const std::string& field,
                                 const std::string& what) {
-        mistake(declared, declared.place + "." + field, what);
+        report_mistake(declared, declared.path + "." + field, what);
     };
     const Json::Value values = pvt::parameter_values(
         found->second.body["parameters"], given, in_account);
     if (m_mistakes.size() != before)
         return false;
-    account.policy = terms_of(found->second, values, name, cache);
+    account.policy = policy_for(found->second, values, name, cache);
     return account.policy != nullptr;
 }
 
 std::shared_ptr<const AccountPolicy>
-TemplateSet::terms_of(const Declared& declared, const Json::Value& values,
-                      const std::string& account, TermsCache& cache)
+TemplateSet::policy_for(const Declaration& declared, const Json::Value& values,
+                        const std::string& account, PolicyCache& cache)
 {
-    const auto [at, fresh] = cache.try_emplace(
-        declared.file + declared.place + json_text(values), nullptr);
-    if (!fresh)
+    const auto [at, inserted] = cache.try_emplace(
+        declared.file + declared.path + json_text(values), nullptr);
+    if (!inserted)
         return at->second;
     const std::size_t before = m_mistakes.size();
     const auto report = [&](const std::string& field, const std::string& what) {
-        const bool defaults = account.empty();
-        mistake(declared, field,
-                defaults ? what : what + " (for account " + account + ")");
+        const bool with_defaults = account.empty();
+        report_mistake(declared, field,
+                       with_defaults ? what
+                                     : what + " (for account " + account + ")");
     };
     const Json::Value body =
         pvt::fill_parameters(declared.body["account"], values, report);
-    pvt::FieldReader reader(body, declared.place + ".account", report);
-    auto terms = std::make_shared<AccountPolicy>();
-    pvt::read_account_policy(reader, *terms);
+    pvt::FieldReader reader(body, declared.path + ".account", report);
+    auto policy = std::make_shared<AccountPolicy>();
+    pvt::read_account_policy(reader, *policy);
     reader.finish();
     if (m_mistakes.size() == before)
-        at->second = std::move(terms);
+        at->second = std::move(policy);
     return at->second;
 }
 
 void
-TemplateSet::check_templates(TermsCache& cache)
+TemplateSet::check_templates(PolicyCache& cache)
 {
     // A template is also checked with its defaults, so that mistakes are
     // reported before the first account uses it.
@@ -146,7 +148,7 @@
                 complete = false;
             });
         if (complete)
-            terms_of(declared, values, "", cache);
+            policy_for(declared, values, "", cache);
     }
 }
 
@@ -156,7 +158,7 @@
     std::vector<ClientAccount> result;
     result.reserve(m_accounts.size());
     std::set<Digest> seen;
-    TermsCache cache;
+    PolicyCache cache;
     check_templates(cache);
     for (const auto& [name, declared] : m_accounts) {
         ClientAccount account;
@@ -164,8 +166,8 @@
             continue;
         for (const Digest& hash : account.key_hashes)
             if (!seen.insert(hash).second)
-                mistake(declared, declared.place + ".key_hashes",
-                        "holds a key that another account has as well");
+                report_mistake(declared, declared.path + ".key_hashes",
+                               "holds a key that another account has as well");
         result.push_back(std::move(account));
     }
     return result;
@@ -179,7 +181,7 @@
     for (const auto& [name, declared] : m_templates)
         grouped[templates_part]["templates"].append(declared.body);
     for (const auto& [name, declared] : m_accounts)
-        grouped[part_of(name)]["accounts"].append(declared.body);
+        grouped[part_name(name)]["accounts"].append(declared.body);
     std::map<std::string, std::string> result;
     for (const auto& [name, document] : grouped)
         result[name] = json_text(document);
--- a/src/libcrosslink/relay/relay.cpp
+++ b/src/libcrosslink/relay/relay.cpp
@@ -18,7 +18,7 @@
 {
     check_invariant(Invariant::AnswerMatchesRequest, !m_finished);
     m_run_id = run_id;
-    m_continued_from = m_next_index;
+    m_first_index = m_next_index;
 }
 
 RelayAction
@@ -38,7 +38,7 @@
         return RelayAction::Forward;
     m_finished = true;
     m_prompt_tokens =
-        frame.prompt_tokens - std::min(frame.prompt_tokens, m_continued_from);
+        frame.prompt_tokens - std::min(frame.prompt_tokens, m_first_index);
     m_cached_tokens = std::min(frame.cached_tokens, m_prompt_tokens);
     return RelayAction::Finish;
 }
--- a/src/libcrosslink/report/burn_page.cpp
+++ b/src/libcrosslink/report/burn_page.cpp
@@ -34,7 +34,8 @@
 };
 
 double
-burn(const Json::Value& row, const char* window, const Objective& objective)
+burn_rate(const Json::Value& row, const char* window,
+          const Objective& objective)
 {
     const Json::Value& counts = row[window];
     const double requests = json_double(counts, "requests");
@@ -42,16 +43,16 @@
         return 0;
     const double allowed = 1 - json_double(row, objective.target);
     const double missed = json_double(counts, objective.misses) / requests;
-    constexpr double least_allowed = 1e-6;
-    return missed / std::max(allowed, least_allowed);
+    constexpr double min_allowed = 1e-6;
+    return missed / std::max(allowed, min_allowed);
 }
 
 double
-worst_burn(const Json::Value& row)
+worst_burn_rate(const Json::Value& row)
 {
     double worst = 0;
     for (const Objective& objective : objectives)
-        worst = std::max(worst, burn(row, "fast", objective));
+        worst = std::max(worst, burn_rate(row, "fast", objective));
     return worst;
 }
 
@@ -120,8 +121,8 @@
             const Name name{json_string(row, "account"),
                             json_string(row, "model"),
                             json_string(row, "zone")};
-            const auto [at, fresh] = merged.try_emplace(name, row);
-            if (fresh)
+            const auto [at, inserted] = merged.try_emplace(name, row);
+            if (inserted)
                 continue;
             for (const char* window : windows)
                 for (const char* count : count_names)
@@ -136,7 +137,7 @@
         ordered.push_back(std::move(row));
     std::stable_sort(ordered.begin(), ordered.end(),
                      [](const Json::Value& one, const Json::Value& other) {
-                         return worst_burn(one) > worst_burn(other);
+                         return worst_burn_rate(one) > worst_burn_rate(other);
                      });
     Json::Value result(Json::arrayValue);
     for (Json::Value& row : ordered)
@@ -189,7 +190,7 @@
                        "objective       fast  slow  budget left  recomputed\n";
     for (const Json::Value& row : rows) {
         for (const Objective& objective : objectives) {
-            const double slow = burn(row, "slow", objective);
+            const double slow = burn_rate(row, "slow", objective);
             char line[160];
             std::snprintf(line, sizeof line,
                           "%-24s %-16s %-8s %-14s %5.2f %5.2f %11.0f%% %10.0f%%"
@@ -197,7 +198,7 @@
                           json_string(row, "account").c_str(),
                           json_string(row, "model").c_str(),
                           json_string(row, "zone").c_str(), objective.title,
-                          burn(row, "fast", objective), slow,
+                          burn_rate(row, "fast", objective), slow,
                           std::max(0.0, 1 - slow) * 100,
                           recomputed_share(row) * 100);
             text += line;
@@ -221,8 +222,8 @@
         "<th>Slow (1 h)<th><th>Budget left<th>Recomputed</tr>";
     for (const Json::Value& row : rows) {
         for (const Objective& objective : objectives) {
-            const double fast = burn(row, "fast", objective);
-            const double slow = burn(row, "slow", objective);
+            const double fast = burn_rate(row, "fast", objective);
+            const double slow = burn_rate(row, "slow", objective);
             page += "<tr><td>" + escaped(json_string(row, "account")) + "<td>" +
                     escaped(json_string(row, "model")) + "<td>" +
                     escaped(json_string(row, "zone")) + "<td>" +
--- a/src/libcrosslink/report/burn_report.cpp
+++ b/src/libcrosslink/report/burn_report.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::int64_t fast_minutes = 5;
 constexpr std::int64_t slow_minutes = 60;
-constexpr std::size_t most_series = 20'000;
+constexpr std::size_t max_series = 20'000;
 
 std::int64_t
 minute_of(TimePoint now)
@@ -54,7 +54,7 @@
 {
     SeriesName name{outcome.account, outcome.model, outcome.zone};
     const auto found = m_series.find(name);
-    if (found == m_series.end() && m_series.size() >= most_series)
+    if (found == m_series.end() && m_series.size() >= max_series)
         return;
     Series& series = m_series[std::move(name)];
     series.objectives = outcome.objectives;
--- a/src/serve/fleet/change_applier.cpp
+++ b/src/serve/fleet/change_applier.cpp
@@ -13,11 +13,11 @@
 namespace crosslink
 {
 
-ChangeApplier::ChangeApplier(ForwardState& state, bool whole,
+ChangeApplier::ChangeApplier(ForwardState& state, bool is_snapshot,
                              std::optional<TimePoint> lapsed_until)
-    : m_state(state), m_whole(whole), m_lapsed_until(lapsed_until)
+    : m_state(state), m_is_snapshot(is_snapshot), m_lapsed_until(lapsed_until)
 {
-    if (whole)
+    if (is_snapshot)
         state.fleet.with([](FleetView& view) { view.rollouts.clear(); });
 }
 
@@ -45,7 +45,7 @@
     m_state.fleet.with([&](FleetView& view) {
         WeightsHistory& history = view.weights[change.model];
         // A snapshot may name weights that are long in use.
-        if (m_whole)
+        if (m_is_snapshot)
             history.found(change.version, monotonic_now());
         else
             history.named(change.version, monotonic_now());
@@ -98,7 +98,7 @@
 
 /// Closes the connections to the runner's previous process.
 void
-ChangeApplier::started_anew(const ListedRunner& runner)
+ChangeApplier::handle_restart(const ListedRunner& runner)
 {
     m_state.connections.drop_unproven(runner.address, monotonic_now());
     LogLine("runner_started_anew")
@@ -115,11 +115,9 @@
     const auto earlier =
         m_state.runners.with([&runner](const RunnerTable& table) {
             const auto known = table.entries().find(runner.id);
-            const bool starts_anew =
-                known != table.entries().end() &&
-                known->second.listed.start_ms < runner.start_ms;
-            return starts_anew ? std::optional(known->second.listed)
-                               : std::nullopt;
+            const bool is_new = known != table.entries().end() &&
+                                known->second.listed.start_ms < runner.start_ms;
+            return is_new ? std::optional(known->second.listed) : std::nullopt;
         });
     if (earlier)
         m_state.note_runner_exit({earlier->id, earlier->start_ms},
@@ -130,28 +128,28 @@
 /// Records that a runner is no longer listed: its process may have ended,
 /// unless it announced that it leaves.
 void
-ChangeApplier::note_gone(const std::string& id)
+ChangeApplier::note_unlisted(const std::string& id)
 {
     std::optional<ListedRunner> gone;
-    bool leaves = false;
-    std::size_t of_zone = 0;
+    bool is_leaving = false;
+    std::size_t in_zone = 0;
     m_state.runners.with([&](const RunnerTable& table) {
         const auto found = table.entries().find(id);
         if (found == table.entries().end())
             return;
         gone = found->second.listed;
-        leaves = found->second.leaves();
+        is_leaving = found->second.leaves();
         for (const auto& [other, entry] : table.entries())
-            of_zone += entry.listed.zone == gone->zone ? 1 : 0;
+            in_zone += entry.listed.zone == gone->zone ? 1 : 0;
     });
     if (!gone)
         return;
     const RunnerIncarnation incarnation{gone->id, gone->start_ms};
     m_state.breaks.with([&](UnresolvedFailures& breaks) {
-        if (leaves)
+        if (is_leaving)
             breaks.leaves(incarnation);
         else
-            breaks.gone(incarnation, gone->zone, of_zone, monotonic_now());
+            breaks.gone(incarnation, gone->zone, in_zone, monotonic_now());
     });
     m_state.unresolved_failure_added.nudge();
 }
@@ -161,11 +159,11 @@
 {
     m_runners.push_back(change.runner);
     note_replaced(change.runner);
-    const bool anew = m_state.runners.with([&](RunnerTable& table) {
+    const bool restarted = m_state.runners.with([&](RunnerTable& table) {
         return table.put(change.runner, monotonic_now());
     });
-    if (anew)
-        started_anew(change.runner);
+    if (restarted)
+        handle_restart(change.runner);
     if (change.runner.leaving)
         LogLine("runner_leaving")
             .field("runner", change.runner.id)
@@ -178,7 +176,7 @@
     // A runner whose entry expired during an outage of the platform may be
     // healthy.
     if (!m_lapsed_until)
-        note_gone(change.id);
+        note_unlisted(change.id);
     m_state.runners.with([&](RunnerTable& table) {
         if (m_lapsed_until)
             table.lapsed(change.id, *m_lapsed_until);
@@ -226,8 +224,8 @@
 void
 ChangeApplier::finish()
 {
-    if (m_whole)
-        finish_whole();
+    if (m_is_snapshot)
+        finish_snapshot();
     const Micros limit = m_state.settings.sending_bound();
     const TimePoint now = monotonic_now();
     m_state.fleet.with([&](FleetView& view) {
@@ -237,7 +235,7 @@
 }
 
 void
-ChangeApplier::finish_whole()
+ChangeApplier::finish_snapshot()
 {
     const TimePoint now = monotonic_now();
     m_state.runners.with([this, now](RunnerTable& table) {
--- a/src/serve/fleet/change_applier.h
+++ b/src/serve/fleet/change_applier.h
@@ -25,7 +25,7 @@
     /// `is_snapshot` tells that the changes describe the complete state. See
     /// ForwardState::apply_changes() for `lapsed_until`. `state` must outlive
     /// this object.
-    ChangeApplier(ForwardState& state, bool whole,
+    ChangeApplier(ForwardState& state, bool is_snapshot,
                   std::optional<TimePoint> lapsed_until);
 
     void operator()(const MapNamed& change);
@@ -43,13 +43,13 @@
     void finish();
 
 private:
-    void finish_whole();
-    void started_anew(const ListedRunner& runner);
+    void finish_snapshot();
+    void handle_restart(const ListedRunner& runner);
     void note_replaced(const ListedRunner& runner);
-    void note_gone(const std::string& id);
+    void note_unlisted(const std::string& id);
 
     ForwardState& m_state;
-    const bool m_whole;
+    const bool m_is_snapshot;
     const std::optional<TimePoint> m_lapsed_until;
     std::vector<ListedRunner> m_runners;
     std::set<std::string> m_instances;
--- a/src/serve/fleet/change_receiver.cpp
+++ b/src/serve/fleet/change_receiver.cpp
@@ -18,16 +18,16 @@
 /// that has lost contact with the platform or its own parent. The coordinator
 /// gets an answer of the platform every 0.4 s, and each of two exchanges adds
 /// 0.15 s; a change must be in force within two seconds.
-constexpr Micros in_time = std::chrono::milliseconds(1200);
+constexpr Micros max_peer_age = std::chrono::milliseconds(1200);
 /// Without any confirmation for so long, the platform may have been unavailable
 /// to all instances. Waits for its answers take 1.8 s or less.
-constexpr Micros longest_silence = std::chrono::milliseconds(2500);
+constexpr Micros max_silence = std::chrono::milliseconds(2500);
 /// Entries of runners that expired during an outage of the platform are listed
 /// again within two seconds of its return, as its operators state. This is that
 /// time, less the time in which a call reaches its runner.
-constexpr Micros lapsed_time = std::chrono::milliseconds(1800);
+constexpr Micros relisting_time = std::chrono::milliseconds(1800);
 /// Longer than any limit on an age.
-constexpr Micros never = std::chrono::hours(1);
+constexpr Micros unconfirmed_age = std::chrono::hours(1);
 
 } // namespace
 
@@ -37,39 +37,39 @@
 }
 
 void
-ChangeReceiver::told_by_platform(const ChangePage& page, TimePoint confirmed)
+ChangeReceiver::apply_from_platform(const ChangePage& page, TimePoint confirmed)
 {
     const std::lock_guard lock(m_mutex);
-    take(page, confirmed);
+    apply(page, confirmed);
 }
 
 void
-ChangeReceiver::told_by_instance(const ChangePage& page, TimePoint confirmed)
+ChangeReceiver::apply_from_peer(const ChangePage& page, TimePoint confirmed)
 {
     const std::lock_guard lock(m_mutex);
-    if (take(page, confirmed))
-        m_told_confirmed = std::max(m_told_confirmed, confirmed);
+    if (apply(page, confirmed))
+        m_peer_confirmed = std::max(m_peer_confirmed, confirmed);
 }
 
 bool
-ChangeReceiver::take(const ChangePage& page, TimePoint confirmed)
+ChangeReceiver::apply(const ChangePage& page, TimePoint confirmed)
 {
     const TimePoint now = monotonic_now();
     // An old state, which may be applied at a start, does not show that the
     // platform is available now.
-    const bool fresh = now - confirmed <= longest_silence;
+    const bool fresh = now - confirmed <= max_silence;
     if (!m_log.apply(page))
         return false;
     const auto lapsed = fresh ? lapsed_until(now) : std::nullopt;
     if (page.is_snapshot)
-        m_whole_place = page.revision;
+        m_snapshot_revision = page.revision;
     m_confirmed = std::max(m_confirmed.value_or(confirmed), confirmed);
     if (fresh) {
         m_state.fleet.with(
             [now](FleetView& view) { view.reach.regained(now); });
-        if (m_lost)
+        if (m_platform_lost)
             LogLine("platform_regained").field("place", page.revision);
-        m_lost = false;
+        m_platform_lost = false;
     }
     if (!page.is_snapshot && page.entries.empty())
         return true;
@@ -84,39 +84,39 @@
 std::optional<TimePoint>
 ChangeReceiver::lapsed_until(TimePoint now)
 {
-    if (m_lost || (m_confirmed && now - *m_confirmed > longest_silence))
-        m_lapsed_until = now + lapsed_time;
+    if (m_platform_lost || (m_confirmed && now - *m_confirmed > max_silence))
+        m_lapsed_until = now + relisting_time;
     if (now < m_lapsed_until)
         return m_lapsed_until;
     return std::nullopt;
 }
 
 void
-ChangeReceiver::learn_holders(const HoldersSeen& seen)
+ChangeReceiver::merge_former_holders(const FormerHolders& seen)
 {
     const std::lock_guard lock(m_mutex);
-    if (!m_log.revision() || seen.place < m_whole_place)
+    if (!m_log.revision() || seen.revision < m_snapshot_revision)
         return;
     std::vector<HolderHistory::Ended> ended;
     ended.reserve(seen.ended.size());
     const TimePoint now = monotonic_now();
     // Counted back from now, the ends seem later than they were, so that no
     // grace time is cut short.
-    for (const HoldersSeen::Ended& item : seen.ended)
+    for (const FormerHolders::Ended& item : seen.ended)
         ended.push_back({item.address, now - item.ago});
     m_state.fleet.with([&](FleetView& view) {
-        view.holders.learn(now - seen.watched, ended);
+        view.holders.learn(now - seen.observed_for, ended);
     });
 }
 
-HoldersSeen
-ChangeReceiver::holders_seen(TimePoint now)
+FormerHolders
+ChangeReceiver::former_holders(TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
-    HoldersSeen seen;
-    seen.place = m_log.revision().value_or(0);
+    FormerHolders seen;
+    seen.revision = m_log.revision().value_or(0);
     m_state.fleet.with([&](const FleetView& view) {
-        seen.watched = now - view.holders.from();
+        seen.observed_for = now - view.holders.from();
         for (const HolderHistory::Ended& item : view.holders.ended())
             seen.ended.push_back({item.address, now - item.at});
     });
@@ -124,40 +124,40 @@
 }
 
 void
-ChangeReceiver::lost()
+ChangeReceiver::note_platform_lost()
 {
     const std::lock_guard lock(m_mutex);
-    m_lost = true;
+    m_platform_lost = true;
     m_state.fleet.with(
         [](FleetView& view) { view.reach.lost(monotonic_now()); });
 }
 
 std::optional<std::uint64_t>
-ChangeReceiver::place()
+ChangeReceiver::revision()
 {
     const std::lock_guard lock(m_mutex);
     return m_log.revision();
 }
 
 ChangePage
-ChangeReceiver::since(std::optional<std::uint64_t> place)
+ChangeReceiver::changes_since(std::optional<std::uint64_t> revision)
 {
     const std::lock_guard lock(m_mutex);
-    return m_log.since(place);
+    return m_log.since(revision);
 }
 
 Micros
 ChangeReceiver::age(TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
-    return m_confirmed ? now - *m_confirmed : never;
+    return m_confirmed ? now - *m_confirmed : unconfirmed_age;
 }
 
 bool
-ChangeReceiver::told_in_time(TimePoint now)
+ChangeReceiver::peers_are_in_time(TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
-    return now - m_told_confirmed <= in_time;
+    return now - m_peer_confirmed <= max_peer_age;
 }
 
 } // namespace crosslink
--- a/src/serve/fleet/change_receiver.h
+++ b/src/serve/fleet/change_receiver.h
@@ -30,45 +30,45 @@
     /// Applies an answer of the platform, which was complete at `confirmed`. It
     /// is dropped where other changes arrived meanwhile; the caller has to ask
     /// again.
-    void told_by_platform(const ChangePage& page, TimePoint confirmed);
+    void apply_from_platform(const ChangePage& page, TimePoint confirmed);
     /// Applies changes from another instance, which were complete at
     /// `confirmed`.
-    void told_by_instance(const ChangePage& page, TimePoint confirmed);
+    void apply_from_peer(const ChangePage& page, TimePoint confirmed);
     /// Takes over what another instance knows of former holders of the duty,
     /// where that instance is at least at the revision of the last snapshot
-    /// received here. Without this, a fresh instance that took the duty waited
-    /// 8 s to be sure that no former holder still answers, while the stores
-    /// stayed full of parts of replaced weights.
-    void learn_holders(const HoldersSeen& seen);
+    /// received here. Without this, a fresh instance that took the duty would
+    /// wait 8 s to be sure that no former holder still answers, while the
+    /// stores stay full of parts of replaced weights.
+    void merge_former_holders(const FormerHolders& seen);
     /// Returns what is known here of former holders.
-    HoldersSeen holders_seen(TimePoint now);
+    FormerHolders former_holders(TimePoint now);
     /// Records that the platform does not answer this instance.
-    void lost();
+    void note_platform_lost();
 
     /// Returns the revision up to which the platform's store is known; nothing
     /// before the first snapshot.
-    std::optional<std::uint64_t> place();
+    std::optional<std::uint64_t> revision();
     /// Returns the changes after `revision`, for another instance.
-    ChangePage since(std::optional<std::uint64_t> place);
+    ChangePage changes_since(std::optional<std::uint64_t> revision);
     /// Returns the time at `now` since the platform last confirmed that all
     /// changes are known here; a large time before the first confirmation.
     Micros age(TimePoint now);
     /// Returns whether other instances deliver changes in time, so that this
     /// one need not ask the platform.
-    bool told_in_time(TimePoint now);
+    bool peers_are_in_time(TimePoint now);
 
 private:
-    bool take(const ChangePage& page, TimePoint confirmed);
+    bool apply(const ChangePage& page, TimePoint confirmed);
     std::optional<TimePoint> lapsed_until(TimePoint now);
 
     ForwardState& m_state;
     Coordinator& m_coordinator;
     std::mutex m_mutex;
     ChangeLog m_log;
-    std::uint64_t m_whole_place = 0; ///< Revision of the last snapshot.
+    std::uint64_t m_snapshot_revision = 0; ///< Revision of the last snapshot.
     std::optional<TimePoint> m_confirmed;
-    TimePoint m_told_confirmed{}; ///< The same, by other instances only.
-    bool m_lost = false;          ///< The platform does not answer.
+    TimePoint m_peer_confirmed{}; ///< The same, by other instances only.
+    bool m_platform_lost = false; ///< The platform does not answer.
     TimePoint m_lapsed_until{};   ///< Unlisted runners may be healthy.
 };
 
--- a/src/serve/fleet/exchange.h
+++ b/src/serve/fleet/exchange.h
@@ -51,27 +51,27 @@
     std::vector<FetchSamples> fetches;   ///< Seen since the last request.
     /// Revision up to which it knows the platform's store; nothing before it
     /// knows all of it.
-    std::optional<std::uint64_t> news_place;
+    std::optional<std::uint64_t> known_revision;
 };
 
 /// Weights that a runner itself reports to have.
 struct RunnerWeights {
     std::string runner;
-    std::uint64_t start_ms = 0; ///< Its incarnation.
+    std::uint64_t start_ms = 0; ///< Start of its process.
     std::string model;
     std::uint64_t version = 0;
 };
 
 /// The former holders of the duty lease that an instance knows.
-struct HoldersSeen {
+struct FormerHolders {
     /// A holder whose duty ended, and the time since this was learned.
     struct Ended {
         std::string address;
         Micros ago{0};
     };
 
-    std::uint64_t place = 0; ///< Revision of the platform's store.
-    Micros watched{0};       ///< How long no change of holder was missed.
+    std::uint64_t revision = 0; ///< Revision of the platform's store.
+    Micros observed_for{0};     ///< How long no change of holder was missed.
     std::vector<Ended> ended;
 };
 
@@ -92,9 +92,9 @@
     bool platform_reached = false;   ///< The sender gets platform responses.
     Micros load_age{0}; ///< Age of `others` beyond the pause between exchanges.
     Micros age{0};      ///< Time since the coordinator sent its data.
-    HoldersSeen holders;
-    ChangePage news;    ///< After the revision in the request.
-    Micros news_age{0}; ///< Since the platform confirmed `changes`.
+    FormerHolders holders;
+    ChangePage changes;    ///< After the revision in the request.
+    Micros changes_age{0}; ///< Since the platform confirmed `changes`.
 };
 
 } // namespace crosslink
--- a/src/serve/fleet/exchange_duty.cpp
+++ b/src/serve/fleet/exchange_duty.cpp
@@ -26,23 +26,24 @@
 
 /// Pause between exchanges with the coordinator, which may be in another zone,
 /// and serves the parents of all zones.
-constexpr Micros exchange_pause = std::chrono::milliseconds(150);
+constexpr Micros coordinator_pause = std::chrono::milliseconds(150);
 /// Pause between exchanges with a parent in the same zone, whose runners get
 /// most of the calls. A prompt of 9,000 tokens is read in 160 ms: load data
 /// older than that shows idle runners as busy.
-constexpr Micros near_pause = std::chrono::milliseconds(100);
-constexpr Micros after_failure = std::chrono::milliseconds(400);
+constexpr Micros parent_pause = std::chrono::milliseconds(100);
+constexpr Micros failure_pause = std::chrono::milliseconds(400);
 /// Pause after a failure where there is another parent to ask.
-constexpr Micros before_next_parent = std::chrono::milliseconds(20);
+constexpr Micros next_parent_pause = std::chrono::milliseconds(20);
 /// How long other parents are preferred to one that failed.
-constexpr Micros avoided_for = std::chrono::seconds(2);
+constexpr Micros avoidance_time = std::chrono::seconds(2);
 /// Pause after a failure before the first copy of the directory of stored
 /// parts: until then, all prompts are read whole.
-constexpr Micros after_failure_unlearned = std::chrono::milliseconds(80);
+constexpr Micros failure_pause_without_directory =
+    std::chrono::milliseconds(80);
 /// Consecutive failures after which another instance is asked for the
 /// coordinator's address. One exchange may fail while the duty passes to
 /// another instance.
-constexpr int failures_to_ask = 2;
+constexpr int failures_before_asking_peer = 2;
 /// How long a runner that loads weights gets no calls: until the next exchanges
 /// extend it.
 constexpr Micros loading_hold = std::chrono::milliseconds(350);
@@ -50,22 +51,22 @@
 } // namespace
 
 ExchangeDuty::ExchangeDuty(ForwardState& state, Coordinator& coordinator,
-                           ExchangeHandler& desk, ChangeReceiver& news)
-    : m_state(state), m_coordinator(coordinator), m_desk(desk), m_news(news),
-      m_duty("exchange", [this] { return round(); })
+                           ExchangeHandler& handler, ChangeReceiver& changes)
+    : m_state(state), m_coordinator(coordinator), m_handler(handler),
+      m_changes(changes), m_duty("exchange", [this] { return round(); })
 {
 }
 
 /// Returns the request with this instance's report to its parent.
 ExchangeRequest
-ExchangeDuty::request(TimePoint now)
+ExchangeDuty::make_request(TimePoint now)
 {
     ExchangeRequest request;
     request.instance = m_state.settings.name;
     // Only parents report the load of others with their own: if two instances
     // asked each other, each would count the other's load as its own.
     if (m_state.is_parent())
-        request.load = m_desk.group_load(now);
+        request.load = m_handler.subtree_load(now);
     else
         request.load = m_state.runners.with(
             [](RunnerTable& table) { return table.own_load(); });
@@ -77,8 +78,8 @@
     request.limits = m_state.limit_updates(now);
     request.leaving = m_state.leaving_updates();
     request.fetches = m_state.fetches.with(
-        [](FetchDelayTracker& watch) { return watch.take_unreported(); });
-    request.news_place = m_news.place();
+        [](FetchDelayTracker& tracker) { return tracker.take_unreported(); });
+    request.known_revision = m_changes.revision();
     return request;
 }
 
@@ -103,7 +104,7 @@
 }
 
 ExchangeResponse
-ExchangeDuty::ask(const ExchangeRequest& request)
+ExchangeDuty::send(const ExchangeRequest& request)
 {
     if (m_coordinator.may_answer()) {
         m_parent.clear();
@@ -122,14 +123,14 @@
 
 /// Applies the parent's response to a request that was sent at `asked`.
 void
-ExchangeDuty::take(const ExchangeResponse& response, TimePoint asked)
+ExchangeDuty::apply(const ExchangeResponse& response, TimePoint asked)
 {
     const TimePoint now = monotonic_now();
-    m_desk.parent_told(response, asked);
+    m_handler.store_parent_response(response, asked);
     m_state.counters.load_age.add(now - asked + response.age);
-    m_state.counters.news_age.add(now - asked + response.news_age);
-    m_news.learn_holders(response.holders);
-    m_news.told_by_instance(response.news, asked - response.news_age);
+    m_state.counters.news_age.add(now - asked + response.changes_age);
+    m_changes.merge_former_holders(response.holders);
+    m_changes.apply_from_peer(response.changes, asked - response.changes_age);
     m_state.runners.with([&](RunnerTable& table) {
         table.others_told(response.others, asked - response.load_age - pause());
         for (const std::string& runner : response.loading)
@@ -145,9 +146,9 @@
     m_state.merge_peer_report(response.crashes, asked);
     m_state.merge_peer_report(response.limits);
     m_state.merge_peer_report(response.leaving);
-    m_state.fetches.with([&](FetchDelayTracker& watch) {
+    m_state.fetches.with([&](FetchDelayTracker& tracker) {
         for (const FetchDelay& fetch : response.fetches)
-            watch.set_fleet_delay(fetch, asked);
+            tracker.set_fleet_delay(fetch, asked);
     });
     if (response.platform_reached)
         m_state.fleet.with(
@@ -157,25 +158,25 @@
 /// Avoids a parent that has lost contact with the coordinator or with its own
 /// parent.
 void
-ExchangeDuty::avoid_if_cut_off(const ExchangeResponse& response, TimePoint now)
+ExchangeDuty::avoid_if_outdated(const ExchangeResponse& response, TimePoint now)
 {
     if (!m_parent.empty() && response.age > load_holds)
-        m_avoided[m_parent] = now + avoided_for;
+        m_avoided[m_parent] = now + avoidance_time;
 }
 
 Micros
 ExchangeDuty::round()
 {
     const TimePoint asked = monotonic_now();
-    const ExchangeRequest told = request(asked);
+    const ExchangeRequest request = make_request(asked);
     try {
-        const ExchangeResponse response = ask(told);
-        take(response, asked);
-        avoid_if_cut_off(response, monotonic_now());
+        const ExchangeResponse response = send(request);
+        apply(response, asked);
+        avoid_if_outdated(response, monotonic_now());
         m_failures = 0;
         return pause();
     } catch (const std::exception& failure) {
-        return failed(failure);
+        return handle_failure(failure);
     }
 }
 
@@ -185,36 +186,36 @@
 ExchangeDuty::pause()
 {
     if (m_parent.empty())
-        return exchange_pause;
+        return coordinator_pause;
     const std::string holder = m_state.fleet.with(
         [](const FleetView& view) { return view.coordinator_address(); });
-    return m_parent == holder ? exchange_pause : near_pause;
+    return m_parent == holder ? coordinator_pause : parent_pause;
 }
 
 /// Handles a failed exchange, and returns the pause before the next one.
 /// Without responses, this instance knows only its own load.
 Micros
-ExchangeDuty::failed(const std::exception& failure)
+ExchangeDuty::handle_failure(const std::exception& failure)
 {
     spdlog::debug("exchange with parent {} failed: {}", m_parent,
                   failure.what());
     const TimePoint now = monotonic_now();
     if (!m_parent.empty())
-        m_avoided[m_parent] = now + avoided_for;
-    if (++m_failures >= failures_to_ask)
-        ask_for_holder();
+        m_avoided[m_parent] = now + avoidance_time;
+    if (++m_failures >= failures_before_asking_peer)
+        ask_peer_for_coordinator();
     const std::string next = choose_parent(now);
     if (!next.empty() && !m_avoided.contains(next))
-        return before_next_parent;
-    const bool unlearned = m_state.kept.with(
+        return next_parent_pause;
+    const bool without_directory = m_state.kept.with(
         [](KeptReplica& replica) { return replica.position().first == 0; });
-    return unlearned ? after_failure_unlearned : after_failure;
+    return without_directory ? failure_pause_without_directory : failure_pause;
 }
 
 /// Asks a random other instance for the coordinator's address. The platform is
 /// its primary source, but may be unreachable from here.
 void
-ExchangeDuty::ask_for_holder()
+ExchangeDuty::ask_peer_for_coordinator()
 {
     std::vector<std::string> others;
     m_state.fleet.with([&](FleetView& view) {
@@ -226,7 +227,8 @@
         return;
     try {
         const std::string holder =
-            FleetClient(others[random_bits() % others.size()]).holder();
+            FleetClient(others[random_bits() % others.size()])
+                .coordinator_address();
         if (holder.empty())
             return;
         m_state.fleet.with(
--- a/src/serve/fleet/exchange_duty.h
+++ b/src/serve/fleet/exchange_duty.h
@@ -26,23 +26,23 @@
 {
 public:
     ExchangeDuty(ForwardState& state, Coordinator& coordinator,
-                 ExchangeHandler& desk, ChangeReceiver& news);
+                 ExchangeHandler& handler, ChangeReceiver& changes);
 
 private:
     Micros round();
-    ExchangeRequest request(TimePoint now);
-    ExchangeResponse ask(const ExchangeRequest& request);
+    ExchangeRequest make_request(TimePoint now);
+    ExchangeResponse send(const ExchangeRequest& request);
     std::string choose_parent(TimePoint now);
-    void take(const ExchangeResponse& response, TimePoint asked);
-    void avoid_if_cut_off(const ExchangeResponse& response, TimePoint now);
+    void apply(const ExchangeResponse& response, TimePoint asked);
+    void avoid_if_outdated(const ExchangeResponse& response, TimePoint now);
     Micros pause();
-    Micros failed(const std::exception& failure);
-    void ask_for_holder();
+    Micros handle_failure(const std::exception& failure);
+    void ask_peer_for_coordinator();
 
     ForwardState& m_state;
     Coordinator& m_coordinator;
-    ExchangeHandler& m_desk;
-    ChangeReceiver& m_news;
+    ExchangeHandler& m_handler;
+    ChangeReceiver& m_changes;
     std::string m_parent;                  ///< Address; empty for none.
     std::unique_ptr<FleetClient> m_client; ///< To the parent.
     /// Parents that did not answer, or had outdated data, and until when all
--- a/src/serve/fleet/exchange_handler.cpp
+++ b/src/serve/fleet/exchange_handler.cpp
@@ -11,8 +11,8 @@
 {
 
 ExchangeHandler::ExchangeHandler(ForwardState& state, Coordinator& coordinator,
-                                 ChangeReceiver& news)
-    : m_state(state), m_coordinator(coordinator), m_news(news)
+                                 ChangeReceiver& changes)
+    : m_state(state), m_coordinator(coordinator), m_changes(changes)
 {
 }
 
@@ -24,44 +24,45 @@
     m_state.merge_peer_report(request.crashes, now);
     m_state.merge_peer_report(request.limits);
     m_state.merge_peer_report(request.leaving);
-    const auto fetches = m_state.fetches.with([&](FetchDelayTracker& watch) {
+    const auto fetches = m_state.fetches.with([&](FetchDelayTracker& tracker) {
         for (const FetchSamples& samples : request.fetches)
-            watch.add_remote_samples(samples, now);
-        return watch.delays(now);
+            tracker.add_remote_samples(samples, now);
+        return tracker.delays(now);
     });
     ExchangeResponse response = m_coordinator.may_answer()
                                     ? m_coordinator.exchange(request)
-                                    : handed_on(request, now);
+                                    : forward_parent_response(request, now);
     response.lost = m_state.lost_contacts(now);
     response.crashes = m_state.crash_updates(now);
     response.limits = m_state.limit_updates(now);
     response.leaving = m_state.leaving_updates();
     response.fetches = fetches;
-    response.holders = m_news.holders_seen(now);
-    response.news = m_news.since(request.news_place);
-    response.news_age = m_news.age(now);
+    response.holders = m_changes.former_holders(now);
+    response.changes = m_changes.changes_since(request.known_revision);
+    response.changes_age = m_changes.age(now);
     return response;
 }
 
 std::map<std::string, RunnerLoad>
-ExchangeHandler::group_load(TimePoint now)
+ExchangeHandler::subtree_load(TimePoint now)
 {
     const auto own = m_state.runners.with(
         [](RunnerTable& table) { return table.own_load(); });
-    return m_children.with([&](LoadAggregator& board) {
-        board.told(m_state.settings.name, own, now);
-        return board.sum(now);
+    return m_children.with([&](LoadAggregator& loads) {
+        loads.told(m_state.settings.name, own, now);
+        return loads.sum(now);
     });
 }
 
 void
-ExchangeHandler::parent_told(const ExchangeResponse& response, TimePoint asked)
+ExchangeHandler::store_parent_response(const ExchangeResponse& response,
+                                       TimePoint asked)
 {
-    m_told.with([&](Told& told) {
-        told.response = response;
-        told.response.news = {};
-        told.response.kept = {};
-        told.at = asked - response.age;
+    m_parent_response.with([&](ParentResponse& stored) {
+        stored.response = response;
+        stored.response.changes = {};
+        stored.response.kept = {};
+        stored.sent_at = asked - response.age;
     });
 }
 
@@ -70,30 +71,32 @@
 {
     if (m_coordinator.may_answer())
         return Micros{0};
-    return m_told.with([now](const Told& told) {
-        return std::chrono::duration_cast<Micros>(now - told.at);
+    return m_parent_response.with([now](const ParentResponse& stored) {
+        return std::chrono::duration_cast<Micros>(now - stored.sent_at);
     });
 }
 
 ExchangeResponse
-ExchangeHandler::handed_on(const ExchangeRequest& request, TimePoint now)
+ExchangeHandler::forward_parent_response(const ExchangeRequest& request,
+                                         TimePoint now)
 {
     const auto own = m_state.runners.with(
         [](RunnerTable& table) { return table.own_load(); });
-    const auto children = m_children.with([&](LoadAggregator& board) {
-        board.told(request.instance, request.load, now);
-        board.told(m_state.settings.name, own, now);
-        return board.others(request.instance, now);
+    const auto children = m_children.with([&](LoadAggregator& loads) {
+        loads.told(request.instance, request.load, now);
+        loads.told(m_state.settings.name, own, now);
+        return loads.others(request.instance, now);
     });
-    const Told told = m_told.with([](const Told& last) { return last; });
+    const ParentResponse stored =
+        m_parent_response.with([](const ParentResponse& last) { return last; });
     ExchangeResponse response;
     response.others = children;
-    response.age = now - told.at;
+    response.age = now - stored.sent_at;
     if (response.age <= load_holds) {
         add_load(response.others,
-                 aged_load(told.response.others, response.age));
-        response.loading = told.response.loading;
-        response.loaded = told.response.loaded;
+                 aged_load(stored.response.others, response.age));
+        response.loading = stored.response.loading;
+        response.loaded = stored.response.loaded;
     }
     m_state.merge_peer_report(request.weights, now);
     response.weights = m_state.weights_ages(now);
--- a/src/serve/fleet/exchange_handler.h
+++ b/src/serve/fleet/exchange_handler.h
@@ -27,34 +27,36 @@
 {
 public:
     ExchangeHandler(ForwardState& state, Coordinator& coordinator,
-                    ChangeReceiver& news);
+                    ChangeReceiver& changes);
 
     /// Applies the report of an instance, and returns the state of the fleet
     /// for it. Throws Error(LeaseLost).
     ExchangeResponse exchange(const ExchangeRequest& request);
     /// Returns, by runner, the load of this instance and of all instances that
     /// ask it.
-    std::map<std::string, RunnerLoad> group_load(TimePoint now);
+    std::map<std::string, RunnerLoad> subtree_load(TimePoint now);
     /// Stores the parent's response to a request that was sent at `asked`.
-    void parent_told(const ExchangeResponse& response, TimePoint asked);
+    void store_parent_response(const ExchangeResponse& response,
+                               TimePoint asked);
     /// Returns the age at `now` of the coordinator's data; 0 at the coordinator
     /// itself, and very large before the first response.
     Micros age(TimePoint now);
 
 private:
     /// The last response of the parent.
-    struct Told {
+    struct ParentResponse {
         ExchangeResponse response;
-        TimePoint at{}; ///< When the coordinator sent its data.
+        TimePoint sent_at{}; ///< When the coordinator sent its data.
     };
 
-    ExchangeResponse handed_on(const ExchangeRequest& request, TimePoint now);
+    ExchangeResponse forward_parent_response(const ExchangeRequest& request,
+                                             TimePoint now);
 
     ForwardState& m_state;
     Coordinator& m_coordinator;
-    ChangeReceiver& m_news;
+    ChangeReceiver& m_changes;
     Guarded<LoadAggregator> m_children;
-    Guarded<Told> m_told;
+    Guarded<ParentResponse> m_parent_response;
 };
 
 } // namespace crosslink
--- a/src/serve/fleet/exchange_json.cpp
+++ b/src/serve/fleet/exchange_json.cpp
@@ -48,9 +48,9 @@
 
 /// Groups ids by space and store: {"SPACE": {"STORE": ["ID", ..]}}. A directory
 /// of 3,000 parts takes 40 KB this way. With space and store beside each id it
-/// took 280 KB, and 80 instances that requested it from a new coordinator
-/// filled its link of 10 Mbit/s for 18 s. Of several entries for one part, only
-/// the last is encoded.
+/// would take 280 KB, and 80 instances that request it from a new coordinator
+/// would fill its link of 10 Mbit/s for 18 s. Of several entries for one part,
+/// only the last is encoded.
 Json::Value
 entries_to_json(std::span<const KeptEntry> entries)
 {
@@ -99,13 +99,13 @@
     update.place = json_uint64(value, "place");
     update.is_snapshot = json_bool(value, "whole");
     update.clock = json_uint64(value, "clock");
-    update.age = json_span(value, "age_us");
+    update.age = json_micros(value, "age_us");
     update.entries = entries_from_json(value["entries"]);
     return update;
 }
 
 Json::Value
-age_to_json(const WeightsAge& age)
+weights_age_to_json(const WeightsAge& age)
 {
     Json::Value value;
     value["model"] = age.model;
@@ -115,14 +115,14 @@
 }
 
 WeightsAge
-age_from_json(const Json::Value& value)
+weights_age_from_json(const Json::Value& value)
 {
     return {json_string(value, "model"), json_uint64(value, "version"),
-            json_span(value, "age_us")};
+            json_micros(value, "age_us")};
 }
 
 Json::Value
-loaded_to_json(const RunnerWeights& loaded)
+runner_weights_to_json(const RunnerWeights& loaded)
 {
     Json::Value value;
     value["runner"] = loaded.runner;
@@ -133,14 +133,14 @@
 }
 
 RunnerWeights
-loaded_from_json(const Json::Value& value)
+runner_weights_from_json(const Json::Value& value)
 {
     return {json_string(value, "runner"), json_uint64(value, "born"),
             json_string(value, "model"), json_uint64(value, "version")};
 }
 
 Json::Value
-lost_to_json(const ConnectionFailure& lost)
+failure_to_json(const ConnectionFailure& lost)
 {
     Json::Value value;
     value["runner"] = lost.runner;
@@ -149,9 +149,9 @@
 }
 
 ConnectionFailure
-lost_from_json(const Json::Value& value)
+failure_from_json(const Json::Value& value)
 {
-    return {json_string(value, "runner"), json_span(value, "age_us")};
+    return {json_string(value, "runner"), json_micros(value, "age_us")};
 }
 
 /// Groups broken calls by runner, since a runner that ends breaks some tens of
@@ -159,12 +159,12 @@
 /// "answered": {DIGEST: AGE}, "held": {DIGEST: AGE}}, ages in microseconds.
 /// Empty members are left out; nearly always all are empty.
 Json::Value
-crashes_to_json(const CrashUpdate& news)
+crashes_to_json(const CrashUpdate& update)
 {
     Json::Value value(Json::objectValue);
     std::map<std::tuple<std::string_view, std::uint64_t, Micros>, Json::Value>
         rows;
-    for (const CrashUpdate::Broken& call : news.broken) {
+    for (const CrashUpdate::Broken& call : update.broken) {
         Json::Value& row = rows[{call.runner, call.start_ms, call.since_end}];
         if (row.empty()) {
             row.append(call.runner);
@@ -176,9 +176,9 @@
     }
     for (const auto& [end, row] : rows)
         value["broken"].append(row);
-    for (const CrashUpdate::Answered& answer : news.answered)
+    for (const CrashUpdate::Answered& answer : update.answered)
         value["answered"][answer.request] = Json::Int64(answer.since.count());
-    for (const CrashUpdate::Held& item : news.held)
+    for (const CrashUpdate::Held& item : update.held)
         value["held"][item.request] = Json::Int64(item.since.count());
     return value;
 }
@@ -198,54 +198,55 @@
 CrashUpdate
 crashes_from_json(const Json::Value& value)
 {
-    CrashUpdate news;
+    CrashUpdate update;
     if (!value.isObject())
-        return news;
+        return update;
     for (const Json::Value& row : value["broken"])
-        add_broken(row, news.broken);
+        add_broken(row, update.broken);
     const Json::Value& answered = value["answered"];
     for (const std::string& request : answered.getMemberNames())
-        news.answered.push_back(
-            {request, json_span(answered, request.c_str())});
+        update.answered.push_back(
+            {request, json_micros(answered, request.c_str())});
     const Json::Value& held = value["held"];
     for (const std::string& request : held.getMemberNames())
-        news.held.push_back({request, json_span(held, request.c_str())});
-    return news;
+        update.held.push_back({request, json_micros(held, request.c_str())});
+    return update;
 }
 
 /// [RUNNER, BORN, CHANGE, HEARD, CALLS PER SECOND]; the rate is left out where
 /// the limit has ended.
 Json::Value
-limit_to_json(const LimitUpdate& news)
+limit_to_json(const LimitUpdate& update)
 {
     Json::Value row(Json::arrayValue);
-    row.append(news.runner);
-    row.append(Json::UInt64(news.start_ms));
-    row.append(Json::UInt64(news.change));
-    row.append(Json::UInt64(news.heard));
-    if (news.per_second != no_rate_limit)
-        row.append(news.per_second);
+    row.append(update.runner);
+    row.append(Json::UInt64(update.start_ms));
+    row.append(Json::UInt64(update.change));
+    row.append(Json::UInt64(update.heard));
+    if (update.per_second != no_rate_limit)
+        row.append(update.per_second);
     return row;
 }
 
 LimitUpdate
 limit_from_json(const Json::Value& row)
 {
-    constexpr Json::ArrayIndex rate = 4;
-    if (!row.isArray() || row.size() < rate)
+    constexpr Json::ArrayIndex rate_index = 4;
+    if (!row.isArray() || row.size() < rate_index)
         throw Error(ErrorCode::BadJson, "a limit without runner or change");
     return {row[0].asString(), row[1].asUInt64(),
-            row.size() > rate ? row[rate].asDouble() : no_rate_limit,
+            row.size() > rate_index ? row[rate_index].asDouble()
+                                    : no_rate_limit,
             row[2].asUInt64(), row[3].asUInt64()};
 }
 
 /// [RUNNER, BORN].
 Json::Value
-leaving_to_json(const LeavingUpdate& news)
+leaving_to_json(const LeavingUpdate& update)
 {
     Json::Value row(Json::arrayValue);
-    row.append(news.runner);
-    row.append(Json::UInt64(news.start_ms));
+    row.append(update.runner);
+    row.append(Json::UInt64(update.start_ms));
     return row;
 }
 
@@ -300,26 +301,26 @@
 }
 
 Json::Value
-holders_to_json(const HoldersSeen& holders)
+holders_to_json(const FormerHolders& holders)
 {
     Json::Value value;
-    value["place"] = Json::UInt64(holders.place);
-    value["watched_us"] = Json::Int64(holders.watched.count());
+    value["place"] = Json::UInt64(holders.revision);
+    value["watched_us"] = Json::Int64(holders.observed_for.count());
     value["ended"] = Json::Value(Json::objectValue);
-    for (const HoldersSeen::Ended& item : holders.ended)
+    for (const FormerHolders::Ended& item : holders.ended)
         value["ended"][item.address] = Json::Int64(item.ago.count());
     return value;
 }
 
-HoldersSeen
+FormerHolders
 holders_from_json(const Json::Value& value)
 {
-    HoldersSeen holders;
-    holders.place = json_uint64(value, "place");
-    holders.watched = json_span(value, "watched_us");
+    FormerHolders holders;
+    holders.revision = json_uint64(value, "place");
+    holders.observed_for = json_micros(value, "watched_us");
     for (const std::string& address : value["ended"].getMemberNames())
         holders.ended.push_back(
-            {address, json_span(value["ended"], address.c_str())});
+            {address, json_micros(value["ended"], address.c_str())});
     return holders;
 }
 
@@ -333,14 +334,14 @@
     value["load"] = load_to_json(request.load);
     value["kept_term"] = Json::UInt64(request.kept_term);
     value["kept_place"] = Json::UInt64(request.kept_place);
-    value["weights"] = json_list(request.weights, age_to_json);
-    value["lost"] = json_list(request.lost, lost_to_json);
+    value["weights"] = json_list(request.weights, weights_age_to_json);
+    value["lost"] = json_list(request.lost, failure_to_json);
     value["crashes"] = crashes_to_json(request.crashes);
     value["limits"] = json_list(request.limits, limit_to_json);
     value["leaving"] = json_list(request.leaving, leaving_to_json);
     value["fetches"] = json_list(request.fetches, samples_to_json);
-    if (request.news_place)
-        value["news_place"] = Json::UInt64(*request.news_place);
+    if (request.known_revision)
+        value["news_place"] = Json::UInt64(*request.known_revision);
     return value;
 }
 
@@ -352,14 +353,14 @@
     request.load = load_from_json(value["load"]);
     request.kept_term = json_uint64(value, "kept_term");
     request.kept_place = json_uint64(value, "kept_place");
-    request.weights = list_from_json(value["weights"], age_from_json);
-    request.lost = list_from_json(value["lost"], lost_from_json);
+    request.weights = list_from_json(value["weights"], weights_age_from_json);
+    request.lost = list_from_json(value["lost"], failure_from_json);
     request.crashes = crashes_from_json(value["crashes"]);
     request.limits = list_from_json(value["limits"], limit_from_json);
     request.leaving = list_from_json(value["leaving"], leaving_from_json);
     request.fetches = list_from_json(value["fetches"], samples_from_json);
     if (value.isMember("news_place"))
-        request.news_place = json_uint64(value, "news_place");
+        request.known_revision = json_uint64(value, "news_place");
     return request;
 }
 
@@ -369,20 +370,20 @@
     Json::Value value;
     value["others"] = load_to_json(response.others);
     value["loading"] = json_strings(response.loading);
-    value["loaded"] = json_list(response.loaded, loaded_to_json);
-    value["lost"] = json_list(response.lost, lost_to_json);
+    value["loaded"] = json_list(response.loaded, runner_weights_to_json);
+    value["lost"] = json_list(response.lost, failure_to_json);
     value["crashes"] = crashes_to_json(response.crashes);
     value["limits"] = json_list(response.limits, limit_to_json);
     value["leaving"] = json_list(response.leaving, leaving_to_json);
     value["fetches"] = json_list(response.fetches, lateness_to_json);
     value["kept"] = update_to_json(response.kept);
-    value["weights"] = json_list(response.weights, age_to_json);
+    value["weights"] = json_list(response.weights, weights_age_to_json);
     value["platform_reached"] = response.platform_reached;
     value["age_us"] = Json::Int64(response.age.count());
     value["load_age_us"] = Json::Int64(response.load_age.count());
     value["holders"] = holders_to_json(response.holders);
-    value["news"] = to_json(response.news);
-    value["news_age_us"] = Json::Int64(response.news_age.count());
+    value["news"] = to_json(response.changes);
+    value["news_age_us"] = Json::Int64(response.changes_age.count());
     return value;
 }
 
@@ -392,20 +393,20 @@
     ExchangeResponse response;
     response.others = load_from_json(value["others"]);
     response.loading = strings_from_json(value["loading"]);
-    response.loaded = list_from_json(value["loaded"], loaded_from_json);
-    response.lost = list_from_json(value["lost"], lost_from_json);
+    response.loaded = list_from_json(value["loaded"], runner_weights_from_json);
+    response.lost = list_from_json(value["lost"], failure_from_json);
     response.crashes = crashes_from_json(value["crashes"]);
     response.limits = list_from_json(value["limits"], limit_from_json);
     response.leaving = list_from_json(value["leaving"], leaving_from_json);
     response.fetches = list_from_json(value["fetches"], lateness_from_json);
     response.kept = update_from_json(value["kept"]);
-    response.weights = list_from_json(value["weights"], age_from_json);
+    response.weights = list_from_json(value["weights"], weights_age_from_json);
     response.platform_reached = json_bool(value, "platform_reached");
-    response.age = json_span(value, "age_us");
-    response.load_age = json_span(value, "load_age_us");
+    response.age = json_micros(value, "age_us");
+    response.load_age = json_micros(value, "load_age_us");
     response.holders = holders_from_json(value["holders"]);
-    response.news = news_from_json(value["news"]);
-    response.news_age = json_span(value, "news_age_us");
+    response.changes = change_page_from_json(value["news"]);
+    response.changes_age = json_micros(value, "news_age_us");
     return response;
 }
 
--- a/src/serve/fleet/exchange_json_test.cpp
+++ b/src/serve/fleet/exchange_json_test.cpp
@@ -18,7 +18,7 @@
 {
 
 ExchangeResponse
-answer_with(std::vector<KeptEntry> entries)
+response_with(std::vector<KeptEntry> entries)
 {
     ExchangeResponse response;
     response.kept.ready = true;
@@ -62,33 +62,33 @@
 TEST_CASE("an exchange carries the requests under which runners ended")
 {
     const Micros since_end = std::chrono::milliseconds(40);
-    CrashUpdate news;
-    news.broken = {{"digest-a", "r1", 7, false, since_end},
-                   {"digest-b", "r1", 7, true, since_end},
-                   {"digest-a", "r2", 0, true, std::chrono::seconds(1)}};
-    news.answered = {{"digest-b", std::chrono::milliseconds(10)}};
-    news.held = {{"digest-a", std::chrono::milliseconds(20)}};
+    CrashUpdate update;
+    update.broken = {{"digest-a", "r1", 7, false, since_end},
+                     {"digest-b", "r1", 7, true, since_end},
+                     {"digest-a", "r2", 0, true, std::chrono::seconds(1)}};
+    update.answered = {{"digest-b", std::chrono::milliseconds(10)}};
+    update.held = {{"digest-a", std::chrono::milliseconds(20)}};
     ExchangeRequest request;
-    request.crashes = news;
+    request.crashes = update;
     const auto asked = exchange_request_from_json(to_json(request)).crashes;
     REQUIRE(asked.broken.size() == 3);
     for (std::size_t i = 0; i < 3; ++i) {
-        CHECK(asked.broken[i].request == news.broken[i].request);
-        CHECK(asked.broken[i].runner == news.broken[i].runner);
-        CHECK(asked.broken[i].start_ms == news.broken[i].start_ms);
-        CHECK(asked.broken[i].again == news.broken[i].again);
-        CHECK(asked.broken[i].since_end == news.broken[i].since_end);
+        CHECK(asked.broken[i].request == update.broken[i].request);
+        CHECK(asked.broken[i].runner == update.broken[i].runner);
+        CHECK(asked.broken[i].start_ms == update.broken[i].start_ms);
+        CHECK(asked.broken[i].again == update.broken[i].again);
+        CHECK(asked.broken[i].since_end == update.broken[i].since_end);
     }
     ExchangeResponse response;
-    response.crashes = news;
+    response.crashes = update;
     const auto read = exchange_response_from_json(to_json(response)).crashes;
     CHECK(read.broken.size() == 3);
     REQUIRE(read.answered.size() == 1);
     REQUIRE(read.held.size() == 1);
     CHECK(read.held[0].request == "digest-a");
-    CHECK(read.held[0].since == news.held[0].since);
+    CHECK(read.held[0].since == update.held[0].since);
     CHECK(read.answered[0].request == "digest-b");
-    CHECK(read.answered[0].since == news.answered[0].since);
+    CHECK(read.answered[0].since == update.answered[0].since);
 }
 
 TEST_CASE("a runner's end without its name or age is rejected")
@@ -141,30 +141,30 @@
 {
     ExchangeResponse response;
     response.age = std::chrono::milliseconds(120);
-    response.news_age = std::chrono::milliseconds(340);
+    response.changes_age = std::chrono::milliseconds(340);
     response.load_age = std::chrono::milliseconds(90);
     response.kept.age = std::chrono::milliseconds(56);
     response.holders = {
         8, std::chrono::seconds(9), {{"a:1", std::chrono::seconds(2)}}};
-    response.news = {
+    response.changes = {
         4, 9, false, {{"a", "{\"x\":\"\u00fc\"}", 5}, {"b", std::nullopt, 9}}};
     const auto read = exchange_response_from_json(to_json(response));
     CHECK(read.age == response.age);
-    CHECK(read.news_age == response.news_age);
+    CHECK(read.changes_age == response.changes_age);
     CHECK(read.load_age == response.load_age);
     CHECK(read.kept.age == response.kept.age);
-    CHECK(read.holders.place == 8);
-    CHECK(read.holders.watched == response.holders.watched);
+    CHECK(read.holders.revision == 8);
+    CHECK(read.holders.observed_for == response.holders.observed_for);
     REQUIRE(read.holders.ended.size() == 1);
     CHECK(read.holders.ended[0].address == "a:1");
     CHECK(read.holders.ended[0].ago == response.holders.ended[0].ago);
-    CHECK(read.news.since == 4);
-    CHECK(read.news.revision == 9);
-    CHECK_FALSE(read.news.is_snapshot);
-    REQUIRE(read.news.entries.size() == 2);
-    CHECK(read.news.entries[0].value == response.news.entries[0].value);
-    CHECK(read.news.entries[0].revision == 5);
-    CHECK_FALSE(read.news.entries[1].value);
+    CHECK(read.changes.since == 4);
+    CHECK(read.changes.revision == 9);
+    CHECK_FALSE(read.changes.is_snapshot);
+    REQUIRE(read.changes.entries.size() == 2);
+    CHECK(read.changes.entries[0].value == response.changes.entries[0].value);
+    CHECK(read.changes.entries[0].revision == 5);
+    CHECK_FALSE(read.changes.entries[1].value);
 }
 
 TEST_CASE("an exchange carries runners that announced that they leave")
@@ -194,29 +194,29 @@
             R"({"since":1,"place":5,"entries":[)" + std::string(row) + "]}";
         INFO(page);
         try {
-            news_from_json(parse_json(page));
+            change_page_from_json(parse_json(page));
             FAIL("taken");
         } catch (const Error& failure) {
             CHECK(failure.code() == ErrorCode::BadJson);
         }
     }
-    CHECK(news_from_json(Json::Value()).entries.empty());
+    CHECK(change_page_from_json(Json::Value()).entries.empty());
 }
 
 TEST_CASE("an instance that knows nothing asks for a snapshot")
 {
     ExchangeRequest request;
-    CHECK_FALSE(exchange_request_from_json(to_json(request)).news_place);
-    request.news_place = 0;
-    CHECK(exchange_request_from_json(to_json(request)).news_place == 0);
+    CHECK_FALSE(exchange_request_from_json(to_json(request)).known_revision);
+    request.known_revision = 0;
+    CHECK(exchange_request_from_json(to_json(request)).known_revision == 0);
 }
 
 TEST_CASE("of several changes of a part, the last one is encoded")
 {
-    const auto response = answer_with({{"s", "a", "store"},
-                                       {"s", "b", "store"},
-                                       {"s", "a", ""},
-                                       {"t", "a", "other"}});
+    const auto response = response_with({{"s", "a", "store"},
+                                         {"s", "b", "store"},
+                                         {"s", "a", ""},
+                                         {"t", "a", "other"}});
     const auto read = exchange_response_from_json(to_json(response));
     REQUIRE(read.kept.entries.size() == 3);
     for (const KeptEntry& entry : read.kept.entries) {
@@ -236,7 +236,7 @@
                            std::to_string(0x10000000 + i),
                            "172.20.0." + std::to_string(i % 30) + ":8528"});
     const std::string text =
-        to_json(answer_with(std::move(entries))).toStyledString();
+        to_json(response_with(std::move(entries))).toStyledString();
     // Styled text has an indented line for each id: the wire format is smaller.
     CHECK(text.size() < parts * most_bytes_each);
 }
--- a/src/serve/fleet/feed_duty.cpp
+++ b/src/serve/fleet/feed_duty.cpp
@@ -26,37 +26,37 @@
 /// The platform may stop answering on a connection without closing it, and a
 /// change must be in force two seconds after the platform is stable again.
 /// Shorter waits would cost more requests, each of which is billed.
-constexpr Micros longest_wait = std::chrono::milliseconds(1800);
+constexpr Micros max_wait = std::chrono::milliseconds(1800);
 /// The same where other instances get the changes from this one: they take it
 /// for cut off from the platform when it has had no answer for 1.2 s, and the
 /// transfer to them takes 0.3 s.
-constexpr Micros longest_wait_for_others = std::chrono::milliseconds(400);
+constexpr Micros max_wait_of_parent = std::chrono::milliseconds(400);
 /// Pause between two requests, so that changes in quick succession arrive
 /// together.
-constexpr Micros least_pause = std::chrono::milliseconds(60);
+constexpr Micros request_pause = std::chrono::milliseconds(60);
 /// The same for an instance without the duty: many may ask at a time, for some
 /// seconds, and each answer is billed. Twenty of them that ask every 60 ms
 /// during a rollout would make 300 calls a second.
-constexpr Micros pause_without_duty = std::chrono::milliseconds(400);
+constexpr Micros request_pause_without_duty = std::chrono::milliseconds(400);
 /// Pause between two checks whether other instances still deliver changes.
-constexpr Micros look_pause = std::chrono::milliseconds(100);
+constexpr Micros check_pause = std::chrono::milliseconds(100);
 /// When changes from other instances stop, parents ask the platform at once,
 /// and the rest at random times within this span: by then, most of them get
 /// changes from a parent again.
-constexpr Micros spread = std::chrono::milliseconds(300);
+constexpr Micros max_random_delay = std::chrono::milliseconds(300);
 /// Pause after a failed request to the platform's store.
-constexpr Micros after_failure_time = std::chrono::milliseconds(250);
-/// The same for instances that no other asks: they learn from others when the
-/// platform is available again.
-constexpr Micros after_failure_below = std::chrono::milliseconds(1000);
+constexpr Micros retry_pause = std::chrono::milliseconds(250);
+/// The same for instances that no other asks. During an outage they try less
+/// often: they learn from others when the platform is available again.
+constexpr Micros retry_pause_of_leaf = std::chrono::milliseconds(1000);
 /// Longest time for which an instance that is gone stays listed.
-constexpr Micros presence_span = std::chrono::seconds(9);
+constexpr Micros presence_lifetime = std::chrono::seconds(9);
 constexpr Micros presence_pause = std::chrono::seconds(3);
 
 } // namespace
 
-FeedDuty::FeedDuty(ForwardState& state, ChangeReceiver& news)
-    : m_state(state), m_news(news),
+FeedDuty::FeedDuty(ForwardState& state, ChangeReceiver& changes)
+    : m_state(state), m_changes(changes),
       m_feed("feed", [this] { return feed_round(); }),
       m_presence("presence", [this] { return presence_round(); })
 {
@@ -65,49 +65,50 @@
 Micros
 FeedDuty::feed_round()
 {
-    if (const auto pause = leave_to_others())
+    if (const auto pause = wait_for_peers())
         return *pause;
     try {
         ask_platform();
-        m_lost = false;
-        return m_state.has_duty() ? least_pause : pause_without_duty;
+        m_platform_lost = false;
+        return m_state.has_duty() ? request_pause : request_pause_without_duty;
     } catch (const Error& failure) {
-        if (!m_lost)
+        if (!m_platform_lost)
             LogLine("platform_lost").field("error", failure.what());
-        m_lost = true;
-        m_news.lost();
+        m_platform_lost = true;
+        m_changes.note_platform_lost();
         if (!m_state.map())
             ask_seeds();
-        return after_failure();
+        return failure_pause();
     }
 }
 
 /// Returns how long to wait for changes from other instances; nothing where
 /// this instance is to ask the platform itself.
 std::optional<Micros>
-FeedDuty::leave_to_others()
+FeedDuty::wait_for_peers()
 {
     const TimePoint now = monotonic_now();
-    if (m_state.has_duty() || !m_news.place()) {
-        m_own_turn.reset();
+    if (m_state.has_duty() || !m_changes.revision()) {
+        m_ask_platform_at.reset();
         return std::nullopt;
     }
-    if (m_news.told_in_time(now)) {
-        m_own_turn.reset();
-        return look_pause;
+    if (m_changes.peers_are_in_time(now)) {
+        m_ask_platform_at.reset();
+        return check_pause;
     }
-    if (!m_own_turn) {
-        m_own_turn = now;
+    if (!m_ask_platform_at) {
+        m_ask_platform_at = now;
         LogLine("news_late")
             .field("age_ms",
-                   static_cast<std::uint64_t>(m_news.age(now) /
+                   static_cast<std::uint64_t>(m_changes.age(now) /
                                               std::chrono::milliseconds(1)));
         if (!m_state.is_parent())
-            *m_own_turn += Micros(static_cast<Micros::rep>(
-                random_bits() % static_cast<std::uint64_t>(spread.count())));
+            *m_ask_platform_at += Micros(static_cast<Micros::rep>(
+                random_bits() %
+                static_cast<std::uint64_t>(max_random_delay.count())));
     }
-    if (now < *m_own_turn)
-        return std::min(look_pause, *m_own_turn - now);
+    if (now < *m_ask_platform_at)
+        return std::min(check_pause, *m_ask_platform_at - now);
     return std::nullopt;
 }
 
@@ -115,31 +116,31 @@
 FeedDuty::ask_platform()
 {
     const bool asked_by_others = m_state.has_duty() || m_state.is_parent();
-    const auto place = m_news.place();
-    const Micros longest =
-        asked_by_others ? longest_wait_for_others : longest_wait;
+    const auto revision = m_changes.revision();
+    const Micros timeout = asked_by_others ? max_wait_of_parent : max_wait;
     const TimePoint asked = monotonic_now();
-    if (!place) {
-        m_news.told_by_platform(m_state.ports.feed.read(), asked);
+    if (!revision) {
+        m_changes.apply_from_platform(m_state.ports.feed.read(), asked);
         return;
     }
-    const ChangePage page = m_state.ports.feed.wait(*place, longest);
+    const ChangePage page = m_state.ports.feed.wait(*revision, timeout);
     // The platform sends an answer without changes at the end of the wait, so
     // that it confirms the state as of then. Counted from the request, the
     // state would seem 0.4 s older than it is, and instances two exchanges away
     // would take it for late.
-    const bool held_back =
-        page.entries.empty() && monotonic_now() >= asked + longest;
-    m_news.told_by_platform(page, held_back ? asked + longest : asked);
+    const bool waited_in_full =
+        page.entries.empty() && monotonic_now() >= asked + timeout;
+    m_changes.apply_from_platform(page,
+                                  waited_in_full ? asked + timeout : asked);
 }
 
 Micros
-FeedDuty::after_failure()
+FeedDuty::failure_pause()
 {
-    const bool is_first = !m_state.map();
-    if (is_first || m_state.has_duty() || m_state.is_parent())
-        return after_failure_time;
-    return after_failure_below;
+    const bool without_map = !m_state.map();
+    if (without_map || m_state.has_duty() || m_state.is_parent())
+        return retry_pause;
+    return retry_pause_of_leaf;
 }
 
 /// Gets the state of the platform's store from another instance, for a start
@@ -156,10 +157,11 @@
             continue;
         try {
             const TimePoint asked = monotonic_now();
-            const ToldNews told = FleetClient(address).news();
-            if (!told.page.is_snapshot)
+            const StoreSnapshot snapshot =
+                FleetClient(address).store_snapshot();
+            if (!snapshot.page.is_snapshot)
                 continue;
-            m_news.told_by_instance(told.page, asked - told.age);
+            m_changes.apply_from_peer(snapshot.page, asked - snapshot.age);
             LogLine("learned_from_instance").field("address", address);
             return;
         } catch (const Error& failure) {
@@ -176,7 +178,7 @@
     if (m_state.stopping)
         return presence_pause;
     m_state.ports.duties.present(m_state.settings.instance_info(),
-                                 presence_span);
+                                 presence_lifetime);
     return presence_pause;
 }
 
--- a/src/serve/fleet/feed_duty.h
+++ b/src/serve/fleet/feed_duty.h
@@ -21,22 +21,22 @@
 class FeedDuty
 {
 public:
-    FeedDuty(ForwardState& state, ChangeReceiver& news);
+    FeedDuty(ForwardState& state, ChangeReceiver& changes);
 
 private:
     Micros feed_round();
-    std::optional<Micros> leave_to_others();
+    std::optional<Micros> wait_for_peers();
     void ask_platform();
-    Micros after_failure();
+    Micros failure_pause();
     void ask_seeds();
     Micros presence_round();
 
     ForwardState& m_state;
-    ChangeReceiver& m_news;
+    ChangeReceiver& m_changes;
     /// When this instance asks the platform itself, since changes from other
     /// instances are late; empty while they are in time.
-    std::optional<TimePoint> m_own_turn;
-    bool m_lost = false; ///< The platform does not answer.
+    std::optional<TimePoint> m_ask_platform_at;
+    bool m_platform_lost = false; ///< The platform does not answer.
     Duty m_feed;
     Duty m_presence;
 };
--- a/src/serve/fleet/fleet_json.cpp
+++ b/src/serve/fleet/fleet_json.cpp
@@ -57,7 +57,7 @@
 /// [KEY, REVISION, VALUE], with the value in the platform's own format, or
 /// [KEY, REVISION] where the key was removed.
 Json::Value
-entry_to_json(const KeyChange& entry)
+change_to_json(const KeyChange& entry)
 {
     Json::Value row(Json::arrayValue);
     row.append(entry.key);
@@ -68,7 +68,7 @@
 }
 
 KeyChange
-news_entry_from_json(const Json::Value& row)
+change_from_json(const Json::Value& row)
 {
     const bool has_value = row.isArray() && row.size() > 2;
     if (!row.isArray() || row.size() < 2 || !row[0].isString() ||
@@ -91,18 +91,18 @@
     value["since"] = Json::UInt64(page.since);
     value["place"] = Json::UInt64(page.revision);
     value["whole"] = page.is_snapshot;
-    value["entries"] = json_list(page.entries, entry_to_json);
+    value["entries"] = json_list(page.entries, change_to_json);
     return value;
 }
 
 ChangePage
-news_from_json(const Json::Value& value)
+change_page_from_json(const Json::Value& value)
 {
     ChangePage page;
     page.since = json_uint64(value, "since");
     page.revision = json_uint64(value, "place");
     page.is_snapshot = json_bool(value, "whole");
-    page.entries = list_from_json(value["entries"], news_entry_from_json);
+    page.entries = list_from_json(value["entries"], change_from_json);
     return page;
 }
 
--- a/src/serve/fleet/fleet_json.h
+++ b/src/serve/fleet/fleet_json.h
@@ -23,7 +23,7 @@
 Json::Value to_json(const ChangePage& page);
 /// Decodes them. Throws Error(BadJson) where a change has no key or no
 /// revision.
-ChangePage news_from_json(const Json::Value& value);
+ChangePage change_page_from_json(const Json::Value& value);
 
 /// Encodes the parts of a prompt, and the space that they belong to.
 Json::Value to_json(const std::string& space,
--- a/src/serve/fleet/fleet_rpc.cpp
+++ b/src/serve/fleet/fleet_rpc.cpp
@@ -18,62 +18,65 @@
 namespace
 {
 
-constexpr const char* ask_kept_method = "ask_kept";
-constexpr const char* not_saved_method = "not_saved";
+constexpr const char* find_kept_parts_method = "ask_kept";
+constexpr const char* cancel_saves_method = "not_saved";
 constexpr const char* exchange_method = "exchange";
-constexpr const char* stop_telling_method = "stop_telling";
-constexpr const char* holder_method = "holder";
-constexpr const char* news_method = "news";
+constexpr const char* stop_answering_method = "stop_telling";
+constexpr const char* coordinator_method = "holder";
+constexpr const char* store_snapshot_method = "news";
 constexpr const char* rpc_path = "/peer";
 constexpr int success = 200;
 constexpr int server_threads = 64;
-constexpr std::uint64_t most_body_bytes = 1U << 20U;
+constexpr std::uint64_t max_body_bytes = 1U << 20U;
 /// Timeout of most calls. Looking up stored parts must not take longer than
 /// reading the prompt: a few thousand tokens are read in about 100 ms.
-constexpr Micros question_time = std::chrono::milliseconds(80);
+constexpr Micros call_timeout = std::chrono::milliseconds(80);
 /// Timeout where the answer may be a complete copy of the directory or of the
 /// platform's store: some hundred kilobytes. No caller waits for it.
-constexpr Micros large_answer_time = std::chrono::milliseconds(600);
-constexpr Micros connect_time = std::chrono::milliseconds(60);
+constexpr Micros large_answer_timeout = std::chrono::milliseconds(600);
+constexpr Micros connect_timeout = std::chrono::milliseconds(60);
 
 } // namespace
 
 FleetServer::FleetServer(ForwardState& state, Coordinator& coordinator,
-                         ExchangeHandler& desk, ChangeReceiver& news)
+                         ExchangeHandler& handler, ChangeReceiver& changes)
     : m_rpc(std::make_unique<RpcServer>())
 {
-    m_rpc->add(ask_kept_method, [&coordinator](const Json::Value& parameters) {
-        const auto parts = parts_from_json(parameters);
-        const Micros longest = json_span(parameters, "longest_us");
-        return to_json(coordinator.find_kept_parts(
-            kept_space_from_json(parameters), parts, longest));
-    });
-    m_rpc->add(not_saved_method, [&coordinator](const Json::Value& parameters) {
-        coordinator.cancel_saves(json_string(parameters, "space"),
-                                 parts_from_json(parameters));
-        return Json::Value(Json::objectValue);
-    });
+    m_rpc->add(find_kept_parts_method,
+               [&coordinator](const Json::Value& parameters) {
+                   const auto parts = parts_from_json(parameters);
+                   const Micros timeout = json_micros(parameters, "longest_us");
+                   return to_json(coordinator.find_kept_parts(
+                       kept_space_from_json(parameters), parts, timeout));
+               });
+    m_rpc->add(cancel_saves_method,
+               [&coordinator](const Json::Value& parameters) {
+                   coordinator.cancel_saves(json_string(parameters, "space"),
+                                            parts_from_json(parameters));
+                   return Json::Value(Json::objectValue);
+               });
     m_rpc->add(
-        stop_telling_method, [&coordinator](const Json::Value& parameters) {
+        stop_answering_method, [&coordinator](const Json::Value& parameters) {
             Json::Value result;
             result["silent"] =
                 coordinator.stop_answering(json_uint64(parameters, "token"),
                                            json_string(parameters, "address"));
             return result;
         });
-    m_rpc->add(holder_method, [&state](const Json::Value&) {
+    m_rpc->add(coordinator_method, [&state](const Json::Value&) {
         Json::Value result;
         result["address"] = state.fleet.with(
             [](FleetView& view) { return view.coordinator_address(); });
         return result;
     });
-    m_rpc->add(exchange_method, [&desk](const Json::Value& parameters) {
-        return to_json(desk.exchange(exchange_request_from_json(parameters)));
+    m_rpc->add(exchange_method, [&handler](const Json::Value& parameters) {
+        return to_json(
+            handler.exchange(exchange_request_from_json(parameters)));
     });
-    m_rpc->add(news_method, [&news](const Json::Value&) {
+    m_rpc->add(store_snapshot_method, [&changes](const Json::Value&) {
         Json::Value result;
-        result["age_us"] = Json::Int64(news.age(monotonic_now()).count());
-        result["page"] = to_json(news.since(std::nullopt));
+        result["age_us"] = Json::Int64(changes.age(monotonic_now()).count());
+        result["page"] = to_json(changes.changes_since(std::nullopt));
         return result;
     });
     HttpServerRules rules;
@@ -83,7 +86,7 @@
         [this](auto& request, auto& answer) {
             try {
                 send_answer(answer, success, "application/json",
-                            m_rpc->handle(read_body(request, most_body_bytes)));
+                            m_rpc->handle(read_body(request, max_body_bytes)));
             } catch (const std::exception& failure) {
                 LogLine("peer_connection").field("error", failure.what());
             }
@@ -93,19 +96,19 @@
 FleetServer::~FleetServer() = default;
 
 FleetClient::FleetClient(const std::string& address)
-    : m_client(address, HttpTimeouts{connect_time, question_time})
+    : m_client(address, HttpTimeouts{connect_timeout, call_timeout})
 {
 }
 
 Json::Value
 FleetClient::call(const char* method, const Json::Value& parameters,
-                  Micros longest)
+                  Micros timeout)
 {
     try {
-        RpcClient client([this, longest](const std::string& request) {
+        RpcClient client([this, timeout](const std::string& request) {
             HttpRequest http;
             http.path = rpc_path;
-            http.receive_timeout = longest;
+            http.receive_timeout = timeout;
             http.headers.push_back({"Content-Type", "application/json"});
             http.body = request;
             return m_client.exchange(http).body;
@@ -120,12 +123,12 @@
 
 KeptAnswer
 FleetClient::find_kept_parts(const KeptSpace& space,
-                             std::span<const PromptPart> parts, Micros longest)
+                             std::span<const PromptPart> parts, Micros timeout)
 {
     Json::Value parameters = to_json(space.text(), parts);
-    parameters["longest_us"] = Json::Int64(longest.count());
-    KeptAnswer answer =
-        kept_answer_from_json(call(ask_kept_method, parameters, question_time));
+    parameters["longest_us"] = Json::Int64(timeout.count());
+    KeptAnswer answer = kept_answer_from_json(
+        call(find_kept_parts_method, parameters, call_timeout));
     if (answer.places.size() != parts.size())
         throw Error(ErrorCode::PeerUnavailable,
                     "the number of places differs from the number of parts");
@@ -136,7 +139,7 @@
 FleetClient::cancel_saves(const std::string& space,
                           std::span<const PromptPart> parts)
 {
-    call(not_saved_method, to_json(space, parts), question_time);
+    call(cancel_saves_method, to_json(space, parts), call_timeout);
 }
 
 bool
@@ -145,31 +148,33 @@
     Json::Value parameters;
     parameters["token"] = Json::UInt64(token);
     parameters["address"] = address;
-    return json_bool(call(stop_telling_method, parameters, question_time),
+    return json_bool(call(stop_answering_method, parameters, call_timeout),
                      "silent");
 }
 
 std::string
-FleetClient::holder()
+FleetClient::coordinator_address()
 {
     return json_string(
-        call(holder_method, Json::Value(Json::objectValue), question_time),
+        call(coordinator_method, Json::Value(Json::objectValue), call_timeout),
         "address");
 }
 
-ToldNews
-FleetClient::news()
+StoreSnapshot
+FleetClient::store_snapshot()
 {
     const Json::Value answer =
-        call(news_method, Json::Value(Json::objectValue), large_answer_time);
-    return {news_from_json(answer["page"]), json_span(answer, "age_us")};
+        call(store_snapshot_method, Json::Value(Json::objectValue),
+             large_answer_timeout);
+    return {change_page_from_json(answer["page"]),
+            json_micros(answer, "age_us")};
 }
 
 ExchangeResponse
 FleetClient::exchange(const ExchangeRequest& request)
 {
     return exchange_response_from_json(
-        call(exchange_method, to_json(request), large_answer_time));
+        call(exchange_method, to_json(request), large_answer_timeout));
 }
 
 } // namespace crosslink
--- a/src/serve/fleet/fleet_rpc.h
+++ b/src/serve/fleet/fleet_rpc.h
@@ -21,7 +21,7 @@
 
 /// What an instance knows of the platform's store, and the time since the
 /// platform confirmed that this is complete.
-struct ToldNews {
+struct StoreSnapshot {
     ChangePage page;
     Micros age{0};
 };
@@ -31,7 +31,7 @@
 {
 public:
     FleetServer(ForwardState& state, Coordinator& coordinator,
-                ExchangeHandler& desk, ChangeReceiver& news);
+                ExchangeHandler& handler, ChangeReceiver& changes);
     ~FleetServer();
 
 private:
@@ -49,7 +49,7 @@
     /// See Coordinator::find_kept_parts().
     KeptAnswer find_kept_parts(const KeptSpace& space,
                                std::span<const PromptPart> parts,
-                               Micros longest);
+                               Micros timeout);
     /// See Coordinator::cancel_saves().
     void cancel_saves(const std::string& space,
                       std::span<const PromptPart> parts);
@@ -57,16 +57,16 @@
     bool stop_answering(std::uint64_t token, const std::string& address);
     /// Returns the coordinator's address as that instance knows it; empty for
     /// none.
-    std::string holder();
+    std::string coordinator_address();
     /// Returns all that the other instance knows of the platform's store; a
     /// page that is no snapshot where it knows nothing.
-    ToldNews news();
+    StoreSnapshot store_snapshot();
     /// See ExchangeHandler::exchange().
     ExchangeResponse exchange(const ExchangeRequest& request);
 
 private:
     Json::Value call(const char* method, const Json::Value& parameters,
-                     Micros longest);
+                     Micros timeout);
 
     HttpClient m_client;
 };
