--- a/src/include/crosslink/base/number.h
+++ b/src/include/crosslink/base/number.h
@@ -61,7 +61,7 @@
 /// Returns the finite number of at least 0 that `text` consists of, in decimal
 /// notation without exponent; nothing for any other text.
 inline std::optional<double>
-parse_decimal(std::string_view text)
+decimal_number(std::string_view text)
 {
     const char* end = text.data() + text.size();
     double number = 0;
--- a/src/include/crosslink/base/retry_after.h
+++ b/src/include/crosslink/base/retry_after.h
@@ -20,7 +20,7 @@
 retry_after_time(std::string_view text)
 {
     constexpr double max_seconds = 24 * 3600;
-    const auto value = parse_decimal(trim_spaces(text));
+    const auto value = decimal_number(trim_spaces(text));
     if (!value)
         return std::nullopt;
     return from_seconds(std::min(*value, max_seconds));
--- a/src/libcrosslink/base/number_test.cpp
+++ b/src/libcrosslink/base/number_test.cpp
@@ -47,12 +47,12 @@
 
 TEST_CASE("a decimal number is finite and not negative")
 {
-    CHECK(parse_decimal("1.5") == 1.5);
-    CHECK(parse_decimal("0") == 0);
-    CHECK(parse_decimal("120") == 120);
+    CHECK(decimal_number("1.5") == 1.5);
+    CHECK(decimal_number("0") == 0);
+    CHECK(decimal_number("120") == 120);
     for (const char* text :
          {"", "x", "-1", "+1", "1.5x", "1,5", "nan", "inf", "1e300", " 1"})
-        CHECK_FALSE(parse_decimal(text));
+        CHECK_FALSE(decimal_number(text));
 }
 
 } // namespace crosslink
