--- a/src/include/crosslink/base/retry_after.h
+++ b/src/include/crosslink/base/retry_after.h
@@ -13,17 +13,17 @@
 namespace crosslink
 {
 
-/// Returns the time that a Retry-After field (RFC 9110, 10.2.3) names in
-/// seconds, fractions included, and at most a day. Nothing for what can't be
-/// read, and for a date: the clocks of machines differ by seconds.
+/// Parses a Retry-After field (RFC 9110, 10.2.3) in seconds, which may have a
+/// fraction. Returns at most a day; nothing for a malformed field, and for a
+/// date, since the clocks of machines differ by seconds.
 inline std::optional<Micros>
 retry_after_time(std::string_view text)
 {
-    constexpr double longest_s = 24 * 3600;
-    const auto told = decimal_number(without_outer_spaces(text));
-    if (!told)
+    constexpr double max_seconds = 24 * 3600;
+    const auto value = decimal_number(trim_spaces(text));
+    if (!value)
         return std::nullopt;
-    return from_seconds(std::min(*told, longest_s));
+    return from_seconds(std::min(*value, max_seconds));
 }
 
 } // namespace crosslink
--- a/src/libcrosslink/configuration/configuration_commit.cpp
+++ b/src/libcrosslink/configuration/configuration_commit.cpp
@@ -12,15 +12,16 @@
 namespace
 {
 
-/// Times that an unclear answer is settled by reading back.
-constexpr int most_rounds = 5;
+/// Attempts at a write whose outcome is unknown; after each, the record is read
+/// back.
+constexpr int max_attempts = 5;
 
 void
 write_part(Platform& platform, const Digest& digest, const std::string& text)
 {
-    for (int round = 0; round < most_rounds; ++round) {
+    for (int attempt = 0; attempt < max_attempts; ++attempt) {
         try {
-            // Named by its digest: where it is there already, it is the same.
+            // The key holds the digest: a record that exists has the same text.
             platform.write_if(configuration_part_key(digest), text, 0);
             return;
         } catch (const Error& failure) {
@@ -31,11 +32,11 @@
             return;
     }
     throw Error(ErrorCode::PlatformOutcomeUnknown,
-                "a part could not be written for certain");
+                "it is unknown whether a part was written");
 }
 
 [[noreturn]] void
-lost_to(const ConfigurationHead& winner)
+throw_conflict(const ConfigurationHead& winner)
 {
     throw Error(ErrorCode::RevisionConflict,
                 "another change was faster: revision " +
@@ -65,7 +66,7 @@
         write_part(platform, digests[name], text);
     }
     ConfigurationHead next = base.head.next(digests, change);
-    for (int round = 0; round < most_rounds; ++round) {
+    for (int attempt = 0; attempt < max_attempts; ++attempt) {
         try {
             const SwapOutcome outcome = platform.write_if(
                 configuration_head_key, next.to_json(), base.version);
@@ -75,27 +76,28 @@
             if (failure.code() != ErrorCode::PlatformOutcomeUnknown)
                 throw;
         }
-        // Either lost, or won with its answer lost: the change id tells.
+        // Another change was first, or this one was applied and the answer was
+        // lost: the change id tells which.
         const HeadRecord now = read_head(platform);
         if (now.head.has_change(change.change_id))
             return next;
         if (now.version != base.version)
-            lost_to(now.head);
+            throw_conflict(now.head);
     }
     throw Error(ErrorCode::PlatformOutcomeUnknown,
-                "it could not be settled whether the change is in place");
+                "it is unknown whether the change is in place");
 }
 
 void
 remove_old_parts(Platform& platform, const ConfigurationHead& head,
                  const ConfigurationHead& before)
 {
-    std::set<std::string> wanted;
+    std::set<std::string> referenced;
     for (const auto* kept : {&head, &before})
         for (const auto& [name, digest] : kept->parts)
-            wanted.insert(configuration_part_key(digest));
+            referenced.insert(configuration_part_key(digest));
     for (const NamedRecord& record : platform.list(configuration_part_prefix))
-        if (!wanted.contains(record.key))
+        if (!referenced.contains(record.key))
             platform.remove_if(record.key, record.record.version);
 }
 
--- a/src/serve/fleet/change_applier.h
+++ b/src/serve/fleet/change_applier.h
@@ -17,14 +17,15 @@
 
 struct ForwardState;
 
-/// Takes one change after the other that the platform told into the state of
-/// an instance.
+/// Applies changes of the platform's store, one after the other, to the state
+/// of an instance.
 class ChangeApplier
 {
 public:
-    /// `whole` where the changes are all that there is; see
-    /// ForwardState::apply_changes() for `lapsed_until`. `state` outlives it.
-    ChangeApplier(ForwardState& state, bool whole,
+    /// `is_snapshot` tells that the changes describe the complete state. See
+    /// ForwardState::apply_changes() for `lapsed_until`. `state` must outlive
+    /// this object.
+    ChangeApplier(ForwardState& state, bool is_snapshot,
                   std::optional<TimePoint> lapsed_until);
 
     void operator()(const MapNamed& change);
@@ -37,18 +38,18 @@
     void operator()(const RunnerGone& change);
     void operator()(const InstanceListed& change);
     void operator()(const DutyHolder& change);
-    /// Drops what a whole reading did not name, and lets what the record of
-    /// rollouts tells count.
+    /// Ends the sequence: drops what a snapshot did not name, and applies the
+    /// records of rollouts.
     void finish();
 
 private:
-    void finish_whole();
-    void started_anew(const ListedRunner& runner);
+    void finish_snapshot();
+    void handle_restart(const ListedRunner& runner);
     void note_replaced(const ListedRunner& runner);
-    void note_gone(const std::string& id);
+    void note_unlisted(const std::string& id);
 
     ForwardState& m_state;
-    const bool m_whole;
+    const bool m_is_snapshot;
     const std::optional<TimePoint> m_lapsed_until;
     std::vector<ListedRunner> m_runners;
     std::set<std::string> m_instances;
--- a/src/serve/fleet/exchange_duty.cpp
+++ b/src/serve/fleet/exchange_duty.cpp
@@ -24,45 +24,49 @@
 namespace
 {
 
-/// With the holder of the duty, which may be in another zone, and is asked by
-/// the parents of all zones.
-constexpr Micros exchange_pause = std::chrono::milliseconds(150);
-/// With a parent of the own zone, whose runners get most of the calls. A prompt
-/// of 9,000 tokens is read in 160 ms: a picture older than that shows idle
-/// runners as busy.
-constexpr Micros near_pause = std::chrono::milliseconds(100);
-constexpr Micros after_failure = std::chrono::milliseconds(400);
-/// Where there is another parent to ask.
-constexpr Micros before_next_parent = std::chrono::milliseconds(20);
-/// A parent that failed is asked last for so long.
-constexpr Micros avoided_for = std::chrono::seconds(2);
-/// As long as nothing is known of what is kept, all prompts are read whole.
-constexpr Micros after_failure_unlearned = std::chrono::milliseconds(80);
-/// After so many exchanges that failed another instance is asked who has the
-/// duty; one may fail while it passes on.
-constexpr int failures_to_ask = 2;
-/// A runner that loads gets nothing until the next exchanges.
+/// Pause between exchanges with the coordinator, which may be in another zone,
+/// and serves the parents of all zones.
+constexpr Micros coordinator_pause = std::chrono::milliseconds(150);
+/// Pause between exchanges with a parent in the same zone, whose runners get
+/// most of the calls. A prompt of 9,000 tokens is read in 160 ms: load data
+/// older than that shows idle runners as busy.
+constexpr Micros parent_pause = std::chrono::milliseconds(100);
+constexpr Micros failure_pause = std::chrono::milliseconds(400);
+/// Pause after a failure where there is another parent to ask.
+constexpr Micros next_parent_pause = std::chrono::milliseconds(20);
+/// How long other parents are preferred to one that failed.
+constexpr Micros avoidance_time = std::chrono::seconds(2);
+/// Pause after a failure before the first copy of the directory of stored
+/// parts: until then, all prompts are read whole.
+constexpr Micros failure_pause_without_directory =
+    std::chrono::milliseconds(80);
+/// Consecutive failures after which another instance is asked for the
+/// coordinator's address. One exchange may fail while the duty passes to
+/// another instance.
+constexpr int failures_before_asking_peer = 2;
+/// How long a runner that loads weights gets no calls: until the next exchanges
+/// extend it.
 constexpr Micros loading_hold = std::chrono::milliseconds(350);
 
 } // namespace
 
 ExchangeDuty::ExchangeDuty(ForwardState& state, Coordinator& coordinator,
-                           ExchangeHandler& desk, ChangeReceiver& news)
-    : m_state(state), m_coordinator(coordinator), m_desk(desk), m_news(news),
-      m_duty("exchange", [this] { return round(); })
+                           ExchangeHandler& handler, ChangeReceiver& changes)
+    : m_state(state), m_coordinator(coordinator), m_handler(handler),
+      m_changes(changes), m_duty("exchange", [this] { return round(); })
 {
 }
 
-/// Returns what this instance tells its parent.
+/// Returns the request with this instance's report to its parent.
 ExchangeRequest
-ExchangeDuty::request(TimePoint now)
+ExchangeDuty::make_request(TimePoint now)
 {
     ExchangeRequest request;
     request.instance = m_state.settings.name;
-    // Only those that are to be asked speak for others: of two that asked each
-    // other, each would count the other's load as its own.
+    // Only parents report the load of others with their own: if two instances
+    // asked each other, each would count the other's load as its own.
     if (m_state.is_parent())
-        request.load = m_desk.group_load(now);
+        request.load = m_handler.subtree_load(now);
     else
         request.load = m_state.runners.with(
             [](RunnerTable& table) { return table.own_load(); });
@@ -74,13 +78,13 @@
     request.limits = m_state.limit_updates(now);
     request.leaving = m_state.leaving_updates();
     request.fetches = m_state.fetches.with(
-        [](FetchDelayTracker& watch) { return watch.take_unreported(); });
-    request.news_place = m_news.place();
+        [](FetchDelayTracker& tracker) { return tracker.take_unreported(); });
+    request.known_revision = m_changes.revision();
     return request;
 }
 
-/// Returns the address of the parent to ask at `now`; empty for none. Those
-/// that failed a moment ago come last, the earliest of them first.
+/// Returns the address of the parent to ask at `now`; empty for none. Parents
+/// that failed recently come last, the earliest failure first.
 std::string
 ExchangeDuty::choose_parent(TimePoint now)
 {
@@ -100,7 +104,7 @@
 }
 
 ExchangeResponse
-ExchangeDuty::ask(const ExchangeRequest& request)
+ExchangeDuty::send(const ExchangeRequest& request)
 {
     if (m_coordinator.may_answer()) {
         m_parent.clear();
@@ -108,7 +112,7 @@
     }
     const std::string parent = choose_parent(monotonic_now());
     if (parent.empty())
-        throw Error(ErrorCode::LeaseLost, "no instance to ask is known");
+        throw Error(ErrorCode::LeaseLost, "no parent is known");
     if (parent != m_parent || !m_client) {
         m_client = std::make_unique<FleetClient>(parent);
         LogLine("parent_chosen").field("address", parent);
@@ -117,16 +121,16 @@
     return m_client->exchange(request);
 }
 
-/// Takes in what the parent answered to a question of `asked`.
+/// Applies the parent's response to a request that was sent at `asked`.
 void
-ExchangeDuty::take(const ExchangeResponse& response, TimePoint asked)
+ExchangeDuty::apply(const ExchangeResponse& response, TimePoint asked)
 {
     const TimePoint now = monotonic_now();
-    m_desk.parent_told(response, asked);
+    m_handler.store_parent_response(response, asked);
     m_state.counters.load_age.add(now - asked + response.age);
-    m_state.counters.news_age.add(now - asked + response.news_age);
-    m_news.learn_holders(response.holders);
-    m_news.told_by_instance(response.news, asked - response.news_age);
+    m_state.counters.news_age.add(now - asked + response.changes_age);
+    m_changes.merge_former_holders(response.holders);
+    m_changes.apply_from_peer(response.changes, asked - response.changes_age);
     m_state.runners.with([&](RunnerTable& table) {
         table.others_told(response.others, asked - response.load_age - pause());
         for (const std::string& runner : response.loading)
@@ -142,74 +146,76 @@
     m_state.merge_peer_report(response.crashes, asked);
     m_state.merge_peer_report(response.limits);
     m_state.merge_peer_report(response.leaving);
-    m_state.fetches.with([&](FetchDelayTracker& watch) {
+    m_state.fetches.with([&](FetchDelayTracker& tracker) {
         for (const FetchDelay& fetch : response.fetches)
-            watch.set_fleet_delay(fetch, asked);
+            tracker.set_fleet_delay(fetch, asked);
     });
     if (response.platform_reached)
         m_state.fleet.with(
             [now](FleetView& view) { view.reach.reached_by_another(now); });
 }
 
-/// Avoids a parent that has lost the holder of the duty, or its own parent.
+/// Avoids a parent that has lost contact with the coordinator or with its own
+/// parent.
 void
-ExchangeDuty::avoid_if_cut_off(const ExchangeResponse& response, TimePoint now)
+ExchangeDuty::avoid_if_outdated(const ExchangeResponse& response, TimePoint now)
 {
     if (!m_parent.empty() && response.age > load_holds)
-        m_avoided[m_parent] = now + avoided_for;
+        m_avoided[m_parent] = now + avoidance_time;
 }
 
 Micros
 ExchangeDuty::round()
 {
     const TimePoint asked = monotonic_now();
-    const ExchangeRequest told = request(asked);
+    const ExchangeRequest request = make_request(asked);
     try {
-        const ExchangeResponse response = ask(told);
-        take(response, asked);
-        avoid_if_cut_off(response, monotonic_now());
+        const ExchangeResponse response = send(request);
+        apply(response, asked);
+        avoid_if_outdated(response, monotonic_now());
         m_failures = 0;
         return pause();
     } catch (const std::exception& failure) {
-        return failed(failure);
+        return handle_failure(failure);
     }
 }
 
-/// Returns the pause between two exchanges. What others told their parent is up
-/// to one old when it is summed.
+/// Returns the pause between two exchanges. The load that other instances
+/// reported to their parent is up to one pause old when it is summed.
 Micros
 ExchangeDuty::pause()
 {
     if (m_parent.empty())
-        return exchange_pause;
+        return coordinator_pause;
     const std::string holder = m_state.fleet.with(
         [](const FleetView& view) { return view.coordinator_address(); });
-    return m_parent == holder ? exchange_pause : near_pause;
+    return m_parent == holder ? coordinator_pause : parent_pause;
 }
 
-/// Returns the pause after an exchange that failed. Without the others the own
-/// load is all that is known.
+/// Handles a failed exchange, and returns the pause before the next one.
+/// Without responses, this instance knows only its own load.
 Micros
-ExchangeDuty::failed(const std::exception& failure)
+ExchangeDuty::handle_failure(const std::exception& failure)
 {
-    spdlog::debug("exchange with {}: {}", m_parent, failure.what());
+    spdlog::debug("exchange with parent {} failed: {}", m_parent,
+                  failure.what());
     const TimePoint now = monotonic_now();
     if (!m_parent.empty())
-        m_avoided[m_parent] = now + avoided_for;
-    if (++m_failures >= failures_to_ask)
-        ask_for_holder();
+        m_avoided[m_parent] = now + avoidance_time;
+    if (++m_failures >= failures_before_asking_peer)
+        ask_peer_for_coordinator();
     const std::string next = choose_parent(now);
     if (!next.empty() && !m_avoided.contains(next))
-        return before_next_parent;
-    const bool unlearned = m_state.kept.with(
+        return next_parent_pause;
+    const bool without_directory = m_state.kept.with(
         [](KeptReplica& replica) { return replica.position().first == 0; });
-    return unlearned ? after_failure_unlearned : after_failure;
+    return without_directory ? failure_pause_without_directory : failure_pause;
 }
 
-/// Asks one of the other instances who has the duty: the platform, which tells
-/// that first, may be out of reach from here.
+/// Asks a random other instance for the coordinator's address. The platform is
+/// its primary source, but may be unreachable from here.
 void
-ExchangeDuty::ask_for_holder()
+ExchangeDuty::ask_peer_for_coordinator()
 {
     std::vector<std::string> others;
     m_state.fleet.with([&](FleetView& view) {
@@ -221,14 +227,16 @@
         return;
     try {
         const std::string holder =
-            FleetClient(others[random_bits() % others.size()]).holder();
+            FleetClient(others[random_bits() % others.size()])
+                .coordinator_address();
         if (holder.empty())
             return;
         m_state.fleet.with(
             [&](FleetView& view) { view.peer_reported_coordinator = holder; });
         LogLine("duty_holder_told").field("address", holder);
     } catch (const Error& failure) {
-        spdlog::debug("holder: {}", failure.what());
+        spdlog::debug("request for the coordinator's address failed: {}",
+                      failure.what());
     }
 }
 
--- a/src/serve/fleet/feed_duty.h
+++ b/src/serve/fleet/feed_duty.h
@@ -15,26 +15,28 @@
 namespace crosslink
 {
 
-/// Asks the platform what it tells the fleet, where this instance has the duty
-/// or others do not tell it in time, and keeps this instance listed as present.
+/// Requests changes of the platform's store where this instance has the duty,
+/// or does not get them from other instances in time. Also keeps this instance
+/// listed as present.
 class FeedDuty
 {
 public:
-    FeedDuty(ForwardState& state, ChangeReceiver& news);
+    FeedDuty(ForwardState& state, ChangeReceiver& changes);
 
 private:
     Micros feed_round();
-    std::optional<Micros> leave_to_others();
+    std::optional<Micros> wait_for_peers();
     void ask_platform();
-    Micros after_failure();
+    Micros failure_pause();
     void ask_seeds();
     Micros presence_round();
 
     ForwardState& m_state;
-    ChangeReceiver& m_news;
-    /// When this instance asks itself, since others do not tell it in time.
-    std::optional<TimePoint> m_own_turn;
-    bool m_lost = false; ///< The platform does not answer.
+    ChangeReceiver& m_changes;
+    /// When this instance asks the platform itself, since changes from other
+    /// instances are late; empty while they are in time.
+    std::optional<TimePoint> m_ask_platform_at;
+    bool m_platform_lost = false; ///< The platform does not answer.
     Duty m_feed;
     Duty m_presence;
 };
--- a/src/serve/fleet/fleet_rpc.h
+++ b/src/serve/fleet/fleet_rpc.h
@@ -19,19 +19,19 @@
 
 class RpcServer;
 
-/// What an instance knows of the platform's store, and how long ago the
-/// platform told that it is all.
-struct ToldNews {
+/// What an instance knows of the platform's store, and the time since the
+/// platform confirmed that this is complete.
+struct StoreSnapshot {
     ChangePage page;
     Micros age{0};
 };
 
-/// Answers the calls of the other instances of the fleet, by JSON-RPC.
+/// JSON-RPC server for the calls of other instances of the fleet.
 class FleetServer
 {
 public:
     FleetServer(ForwardState& state, Coordinator& coordinator,
-                ExchangeHandler& desk, ChangeReceiver& news);
+                ExchangeHandler& handler, ChangeReceiver& changes);
     ~FleetServer();
 
 private:
@@ -39,7 +39,8 @@
     std::unique_ptr<HttpServer> m_server;
 };
 
-/// Calls to another instance. Throws Error(PeerUnavailable).
+/// JSON-RPC client for calls to another instance. They throw
+/// Error(PeerUnavailable).
 class FleetClient
 {
 public:
@@ -48,24 +49,24 @@
     /// See Coordinator::find_kept_parts().
     KeptAnswer find_kept_parts(const KeptSpace& space,
                                std::span<const PromptPart> parts,
-                               Micros longest);
+                               Micros timeout);
     /// See Coordinator::cancel_saves().
     void cancel_saves(const std::string& space,
                       std::span<const PromptPart> parts);
     /// See Coordinator::stop_answering().
     bool stop_answering(std::uint64_t token, const std::string& address);
-    /// Returns the address of the duty's holder as that instance knows it;
-    /// empty for none.
-    std::string holder();
-    /// Returns all that this instance knows of the platform's store; a page
-    /// that is not whole where it knows nothing.
-    ToldNews news();
+    /// Returns the coordinator's address as that instance knows it; empty for
+    /// none.
+    std::string coordinator_address();
+    /// Returns all that the other instance knows of the platform's store; a
+    /// page that is no snapshot where it knows nothing.
+    StoreSnapshot store_snapshot();
     /// See ExchangeHandler::exchange().
     ExchangeResponse exchange(const ExchangeRequest& request);
 
 private:
     Json::Value call(const char* method, const Json::Value& parameters,
-                     Micros longest);
+                     Micros timeout);
 
     HttpClient m_client;
 };
