--- a/src/serve/claim_desk.cpp
+++ b/src/serve/claim_handler.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include "claim_desk.h"
+#include "claim_handler.h"
 
 #include <adapters/clock.h>
 #include <crosslink/base/error.h>
@@ -19,7 +19,7 @@
 namespace
 {
 
-constexpr std::size_t ring_capacity = 4096;
+constexpr std::size_t queue_capacity = 4096;
 /// Writes a second that all claims of the fleet may take of the platform's
 /// hundred; the rest is for operators, who go first.
 constexpr double fleet_writes_per_second = 60;
@@ -27,33 +27,33 @@
 constexpr double write_burst = 4;
 /// How long the committing thread sleeps where nothing waits.
 constexpr Micros idle_wait = std::chrono::seconds(1);
-constexpr Micros longest_wait = std::chrono::seconds(3);
-constexpr Micros come_back = std::chrono::seconds(1);
+constexpr Micros max_wait = std::chrono::seconds(3);
+constexpr Micros retry_delay = std::chrono::seconds(1);
 
 Error
 unavailable(const std::string& why)
 {
     return Error(ErrorCode::ClaimUnavailable, why, RunState::NotDispatched,
-                 come_back);
+                 retry_delay);
 }
 
 } // namespace
 
-ClaimDesk::ClaimDesk(InstanceState& state)
+ClaimHandler::ClaimHandler(InstanceState& state)
     : m_state(state),
       m_committer(state.clients.platform(), state.settings.claim_age_ms),
-      m_ring(ring_capacity), m_thread([this] { work(); })
+      m_queue(queue_capacity), m_thread([this] { process_queue(); })
 {
 }
 
-ClaimDesk::~ClaimDesk()
+ClaimHandler::~ClaimHandler()
 {
-    m_ring.close();
+    m_queue.close();
     m_thread.join();
 }
 
 std::string
-ClaimDesk::preferred(std::uint32_t slice)
+ClaimHandler::preferred_instance(std::uint32_t slice)
 {
     std::vector<std::string> addresses;
     for (const Member& member :
@@ -64,10 +64,10 @@
 }
 
 ClaimVerdict
-ClaimDesk::decide(const Claim& claim)
+ClaimHandler::decide(const Claim& claim)
 {
     const std::uint32_t slice = claim_slice_of(claim.key);
-    const std::string address = preferred(slice);
+    const std::string address = preferred_instance(slice);
     const std::span<const Claim> one(&claim, 1);
     if (address != m_state.self_address()) {
         try {
@@ -75,99 +75,100 @@
                 ->commit_claims(slice, one)
                 .front();
         } catch (const Error& failure) {
-            // The preferred instance only makes it cheap. Asked again here,
-            // under the same id, the claim is decided by the platform alone.
+            // The preferred instance only makes it cheap. Asked again
+            // here, under the same id, the claim is decided by the platform
+            // alone.
             spdlog::info("claim slice={} peer={} failed: {}", slice, address,
                          failure.what());
         }
     }
     try {
-        return commit_here(slice, one).front();
+        return commit_locally(slice, one).front();
     } catch (const Error&) {
-        give_back(claim);
+        release(claim);
         throw;
     }
 }
 
 std::vector<ClaimVerdict>
-ClaimDesk::commit_here(std::uint32_t slice, std::span<const Claim> claims)
+ClaimHandler::commit_locally(std::uint32_t slice, std::span<const Claim> claims)
 {
-    std::vector<WaitingPointer> all;
+    std::vector<PendingClaimPtr> all;
     for (const Claim& claim : claims) {
         if (claim_slice_of(claim.key) != slice)
             throw Error(ErrorCode::BadRequest, "a claim of another slice");
-        all.push_back(std::make_shared<Waiting>());
+        all.push_back(std::make_shared<PendingClaim>());
         all.back()->claim = claim;
-        if (!m_ring.push(all.back()))
+        if (!m_queue.push(all.back()))
             throw unavailable("too many claims wait");
     }
     std::vector<ClaimVerdict> verdicts;
     verdicts.reserve(all.size());
-    for (const WaitingPointer& waiting : all)
-        verdicts.push_back(wait_for(*waiting));
+    for (const PendingClaimPtr& pending_claim : all)
+        verdicts.push_back(wait_for(*pending_claim));
     return verdicts;
 }
 
 void
-ClaimDesk::give_back(const Claim& claim)
+ClaimHandler::release(const Claim& claim)
 {
-    const auto waiting = std::make_shared<Waiting>();
-    waiting->claim = claim;
-    waiting->release = true;
-    if (!m_ring.push(waiting))
+    const auto pending_claim = std::make_shared<PendingClaim>();
+    pending_claim->claim = claim;
+    pending_claim->release = true;
+    if (!m_queue.push(pending_claim))
         spdlog::warn("claim={} could not be given back", claim.id);
 }
 
 ClaimVerdict
-ClaimDesk::wait_for(Waiting& waiting)
+ClaimHandler::wait_for(PendingClaim& pending_claim)
 {
-    std::unique_lock lock(waiting.mutex);
-    const bool done = waiting.changed.wait_for(
-        lock, longest_wait, [&waiting] { return waiting.done; });
+    std::unique_lock lock(pending_claim.mutex);
+    const bool done = pending_claim.changed.wait_for(
+        lock, max_wait, [&pending_claim] { return pending_claim.done; });
     if (!done) {
-        waiting.abandoned = true;
+        pending_claim.abandoned = true;
         throw unavailable("the claim was not decided in time");
     }
-    if (!waiting.failure.empty())
-        throw unavailable(waiting.failure);
-    return waiting.verdict;
+    if (!pending_claim.failure.empty())
+        throw unavailable(pending_claim.failure);
+    return pending_claim.verdict;
 }
 
 void
-ClaimDesk::answer(Waiting& waiting, const ClaimVerdict& verdict,
-                  const std::string& failure)
+ClaimHandler::answer(PendingClaim& pending_claim, const ClaimVerdict& verdict,
+                     const std::string& failure)
 {
     {
-        const std::lock_guard lock(waiting.mutex);
-        waiting.done = true;
-        waiting.verdict = verdict;
-        waiting.failure = failure;
+        const std::lock_guard lock(pending_claim.mutex);
+        pending_claim.done = true;
+        pending_claim.verdict = verdict;
+        pending_claim.failure = failure;
     }
-    waiting.changed.notify_all();
+    pending_claim.changed.notify_all();
 }
 
 void
-ClaimDesk::work()
+ClaimHandler::process_queue()
 {
     Groups groups;
     Micros wait = idle_wait;
-    while (!m_ring.ended()) {
-        for (auto next = m_ring.pop_for(wait); next; next = m_ring.try_pop())
+    while (!m_queue.ended()) {
+        for (auto next = m_queue.pop_for(wait); next; next = m_queue.try_pop())
             groups[claim_slice_of((*next)->claim.key)].push_back(*next);
         wait = commit_ready(groups);
     }
     for (const auto& [slice, group] : groups)
-        for (const WaitingPointer& waiting : group)
-            answer(*waiting, {}, "this instance stops");
+        for (const PendingClaimPtr& pending_claim : group)
+            answer(*pending_claim, {}, "this instance stops");
 }
 
 Micros
-ClaimDesk::commit_ready(Groups& groups)
+ClaimHandler::commit_ready(Groups& groups)
 {
     Micros wait = idle_wait;
     for (auto at = groups.begin(); at != groups.end();) {
         const auto& [slice, group] = *at;
-        TokenBucket& bucket = m_pace.at(slice);
+        TokenBucket& bucket = m_write_limits.at(slice);
         if (bucket.take(1, writes_per_slice, write_burst, monotonic_now())) {
             commit(slice, group);
             at = groups.erase(at);
@@ -183,28 +184,30 @@
 }
 
 void
-ClaimDesk::keep_releases(std::uint32_t slice, std::vector<std::string> releases)
+ClaimHandler::defer_releases(std::uint32_t slice,
+                             std::vector<std::string> releases)
 {
-    constexpr std::size_t most_due = 4096;
-    if (releases.size() > most_due)
-        releases.resize(most_due);
-    m_releases_due.at(slice) = std::move(releases);
+    constexpr std::size_t max_deferred = 4096;
+    if (releases.size() > max_deferred)
+        releases.resize(max_deferred);
+    m_deferred_releases.at(slice) = std::move(releases);
 }
 
 void
-ClaimDesk::commit(std::uint32_t slice, const std::vector<WaitingPointer>& group)
+ClaimHandler::commit(std::uint32_t slice,
+                     const std::vector<PendingClaimPtr>& group)
 {
     std::vector<Claim> batch;
-    std::vector<WaitingPointer> asked;
+    std::vector<PendingClaimPtr> pending;
     std::vector<std::string> releases =
-        std::exchange(m_releases_due.at(slice), {});
-    for (const WaitingPointer& waiting : group) {
-        const std::lock_guard lock(waiting->mutex);
-        if (waiting->release) {
-            releases.push_back(waiting->claim.id);
-        } else if (!waiting->abandoned) {
-            batch.push_back(waiting->claim);
-            asked.push_back(waiting);
+        std::exchange(m_deferred_releases.at(slice), {});
+    for (const PendingClaimPtr& pending_claim : group) {
+        const std::lock_guard lock(pending_claim->mutex);
+        if (pending_claim->release) {
+            releases.push_back(pending_claim->claim.id);
+        } else if (!pending_claim->abandoned) {
+            batch.push_back(pending_claim->claim);
+            pending.push_back(pending_claim);
         }
     }
     const std::uint64_t before = m_committer.writes();
@@ -213,12 +216,12 @@
             m_committer.commit(slice, batch, releases, unix_now());
         // A claim whose asker gave up is not given back here: only its holder
         // knows that it is not being dispatched, and gives it back itself.
-        for (std::size_t i = 0; i < asked.size(); ++i)
-            answer(*asked[i], verdicts[i], {});
+        for (std::size_t i = 0; i < pending.size(); ++i)
+            answer(*pending[i], verdicts[i], {});
     } catch (const Error& failure) {
-        for (const WaitingPointer& waiting : asked)
-            answer(*waiting, {}, failure.what());
-        keep_releases(slice, std::move(releases));
+        for (const PendingClaimPtr& pending_claim : pending)
+            answer(*pending_claim, {}, failure.what());
+        defer_releases(slice, std::move(releases));
     }
     m_state.metrics.claim_writes += m_committer.writes() - before;
     m_held = m_committer.held();
--- a/src/serve/entry_instance.cpp
+++ b/src/serve/entry_instance.cpp
@@ -44,11 +44,11 @@
 } // namespace
 
 EntryInstance::EntryInstance(const Settings& settings)
-    : m_state(with_advertise(settings), self_of(settings)), m_desk(m_state),
-      m_exports(m_state), m_canceler(m_state),
-      m_path(m_state, m_desk, {m_exports, m_watch, m_canceler}),
+    : m_state(with_advertise(settings), self_of(settings)),
+      m_claim_handler(m_state), m_exports(m_state), m_canceler(m_state),
+      m_path(m_state, m_claim_handler, {m_exports, m_watch, m_canceler}),
       m_upstreams(m_state), m_gossip(m_state), m_configuration(m_state),
-      m_peers(m_state, m_desk, m_gossip, m_path.gate()),
+      m_peers(m_state, m_claim_handler, m_gossip, m_path.gate()),
       m_looks(
           m_state.breaks, m_state.unresolved_failure_added,
           [this](const ProbeTarget& port, const PortLook& look) {
--- a/src/serve/entry_instance.h
+++ b/src/serve/entry_instance.h
@@ -7,7 +7,7 @@
 #include "caller_server.h"
 #include "caller_watch.h"
 #include "canceler.h"
-#include "claim_desk.h"
+#include "claim_handler.h"
 #include "configuration_duties.h"
 #include "end_looks.h"
 #include "export_duty.h"
@@ -42,7 +42,7 @@
     void stop();
 
     InstanceState m_state;
-    ClaimDesk m_desk;
+    ClaimHandler m_claim_handler;
     ExportDuty m_exports;
     CallerWatch m_watch;
     Canceler m_canceler;
--- a/src/serve/once.cpp
+++ b/src/serve/once.cpp
@@ -24,7 +24,8 @@
 
 } // namespace
 
-Once::Once(InstanceState& state, ClaimDesk& desk) : m_state(state), m_desk(desk)
+Once::Once(InstanceState& state, ClaimHandler& claim_handler)
+    : m_state(state), m_claim_handler(claim_handler)
 {
 }
 
@@ -57,7 +58,7 @@
     const TimePoint began = monotonic_now();
     ClaimVerdict verdict;
     try {
-        verdict = m_desk.decide(claim);
+        verdict = m_claim_handler.decide(claim);
     } catch (const Error&) {
         ++m_state.metrics.claims_unavailable;
         throw;
@@ -93,7 +94,7 @@
             throw Error(ErrorCode::ClaimOutcomeUnknown,
                         std::string("it may have run: ") + failure.what(),
                         RunState::MayHaveRun);
-        m_desk.give_back(claim);
+        m_claim_handler.release(claim);
         throw;
     }
 }
--- a/src/serve/once.h
+++ b/src/serve/once.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include "claim_desk.h"
+#include "claim_handler.h"
 #include "instance_state.h"
 
 #include <crosslink/claim/claim.h>
@@ -34,7 +34,7 @@
     /// Dispatches the call, and returns its whole answer.
     using Dispatch = std::function<PlainAnswer()>;
 
-    Once(InstanceState& state, ClaimDesk& desk);
+    Once(InstanceState& state, ClaimHandler& claim_handler);
 
     /// Returns the answer, and whether it is a kept one. Throws Error; those
     /// from `dispatch` pass through after the claim was settled.
@@ -50,7 +50,7 @@
                   const std::string& holder);
 
     InstanceState& m_state;
-    ClaimDesk& m_desk;
+    ClaimHandler& m_claim_handler;
 };
 
 } // namespace crosslink
--- a/src/serve/peer_server.cpp
+++ b/src/serve/peer_server.cpp
@@ -42,10 +42,11 @@
 
 } // namespace
 
-PeerServer::PeerServer(InstanceState& state, ClaimDesk& desk,
+PeerServer::PeerServer(InstanceState& state, ClaimHandler& claim_handler,
                        GossipDuty& gossip, AdmissionGate& gate)
     : m_state(state), m_proof(peer_proof(state.settings.fleet_secret)),
-      m_rpc(std::make_unique<RpcServer>()), m_gate(gate), m_desk(desk)
+      m_rpc(std::make_unique<RpcServer>()), m_gate(gate),
+      m_claim_handler(claim_handler)
 {
     add_methods(gossip);
     m_server = std::make_unique<HttpServer>(
@@ -73,8 +74,8 @@
         const auto slice = json_uint32(parameters, "slice");
         const auto claims = wire::claims_from_json(parameters["claims"]);
         Json::Value result;
-        result["verdicts"] =
-            wire::verdicts_to_json(m_desk.commit_here(slice, claims));
+        result["verdicts"] = wire::verdicts_to_json(
+            m_claim_handler.commit_locally(slice, claims));
         return result;
     });
     m_rpc->add(method::answer_of, [this](const Json::Value& parameters) {
@@ -146,7 +147,7 @@
     value["limits_in_use"] = Json::Value(Json::objectValue);
     for (const AccountUse& use : m_gate.in_use())
         value["limits_in_use"][use.account] = use.open;
-    value["claims_in_memory"] = Json::UInt64(m_desk.held());
+    value["claims_in_memory"] = Json::UInt64(m_claim_handler.held());
     return value;
 }
 
--- a/src/serve/peer_server.h
+++ b/src/serve/peer_server.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include "claim_desk.h"
+#include "claim_handler.h"
 #include "gossip_duty.h"
 #include "instance_state.h"
 #include "request_path.h"
@@ -23,8 +23,8 @@
 {
 public:
     /// Binds and answers at once. All arguments must outlive it.
-    PeerServer(InstanceState& state, ClaimDesk& desk, GossipDuty& gossip,
-               AdmissionGate& gate);
+    PeerServer(InstanceState& state, ClaimHandler& claim_handler,
+               GossipDuty& gossip, AdmissionGate& gate);
     ~PeerServer();
 
     std::string address() const { return m_server->address(); }
@@ -39,7 +39,7 @@
     const std::string m_proof;
     std::unique_ptr<RpcServer> m_rpc;
     AdmissionGate& m_gate;
-    ClaimDesk& m_desk;
+    ClaimHandler& m_claim_handler;
     std::unique_ptr<HttpServer> m_server;
 };
 
--- a/src/serve/request_path.cpp
+++ b/src/serve/request_path.cpp
@@ -56,10 +56,10 @@
 
 } // namespace
 
-RequestPath::RequestPath(InstanceState& state, ClaimDesk& desk,
+RequestPath::RequestPath(InstanceState& state, ClaimHandler& claim_handler,
                          RunDuties duties)
-    : m_state(state), m_once(state, desk), m_plain(state), m_gate(state),
-      m_duties(duties)
+    : m_state(state), m_once(state, claim_handler), m_plain(state),
+      m_gate(state), m_duties(duties)
 {
 }
 
--- a/src/serve/request_path.h
+++ b/src/serve/request_path.h
@@ -5,7 +5,7 @@
 
 #include "admission_gate.h"
 #include "caller.h"
-#include "claim_desk.h"
+#include "claim_handler.h"
 #include "completion_run.h"
 #include "instance_state.h"
 #include "once.h"
@@ -21,7 +21,8 @@
 class RequestPath
 {
 public:
-    RequestPath(InstanceState& state, ClaimDesk& desk, RunDuties duties);
+    RequestPath(InstanceState& state, ClaimHandler& claim_handler,
+                RunDuties duties);
 
     /// Serves one request of a caller. Throws Error where nothing was sent to
     /// the caller yet; a failure after that ends the stream with an error.
