--- a/src/serve/entry_instance.cpp
+++ b/src/serve/entry_instance.cpp
@@ -49,7 +49,7 @@
       m_path(m_state, m_claim_handler, {m_exports, m_watch, m_canceler}),
       m_upstreams(m_state), m_gossip(m_state), m_configuration(m_state),
       m_peers(m_state, m_claim_handler, m_gossip, m_path.gate()),
-      m_looks(
+      m_end_probe(
           m_state.breaks, m_state.unresolved_failure_added,
           [this](const ProbeTarget& port, const PortLook& look) {
               if (look.fate == ProcessFate::Ended)
--- a/src/serve/entry_instance.h
+++ b/src/serve/entry_instance.h
@@ -9,11 +9,11 @@
 #include "canceler.h"
 #include "claim_handler.h"
 #include "configuration_duties.h"
-#include "end_looks.h"
 #include "export_duty.h"
 #include "gossip_duty.h"
 #include "instance_state.h"
 #include "peer_server.h"
+#include "process_end_probe.h"
 #include "request_path.h"
 #include "upstream_duties.h"
 
@@ -51,7 +51,7 @@
     GossipDuty m_gossip;
     ConfigurationDuties m_configuration;
     PeerServer m_peers;
-    EndLooks m_looks;
+    ProcessEndProbe m_end_probe;
     CallerServer m_callers;
 };
 
--- a/src/serve/forward/forward_instance.cpp
+++ b/src/serve/forward/forward_instance.cpp
@@ -38,7 +38,7 @@
       m_news(m_state, m_coordinator), m_desk(m_state, m_coordinator, m_news),
       m_fleet(m_state, m_coordinator, m_desk, m_news), m_feed(m_state, m_news),
       m_exchange(m_state, m_coordinator, m_desk, m_news),
-      m_looks(
+      m_end_probe(
           m_state.breaks, m_state.unresolved_failure_added,
           [this](const ProbeTarget& port, PortLook look) {
               looked(port, std::move(look));
--- a/src/serve/forward/forward_instance.h
+++ b/src/serve/forward/forward_instance.h
@@ -9,10 +9,10 @@
 #include "kept_asker.h"
 
 #include <serve/coordinator/coordinator.h>
-#include <serve/end_looks.h>
 #include <serve/fleet/exchange_duty.h>
 #include <serve/fleet/feed_duty.h>
 #include <serve/fleet/fleet_rpc.h>
+#include <serve/process_end_probe.h>
 
 #include <functional>
 
@@ -44,7 +44,7 @@
     FleetServer m_fleet;
     FeedDuty m_feed;
     ExchangeDuty m_exchange;
-    EndLooks m_looks;
+    ProcessEndProbe m_end_probe;
     ForwardServer m_server;
 };
 
--- a/src/serve/end_looks.h
+++ b/src/serve/process_end_probe.h
@@ -18,28 +18,29 @@
 /// Looks at the ports of processes that broke calls off, until a verdict on
 /// them is known or its time is over. A thread of its own, so that no caller
 /// waits for it; idle where nothing broke lately.
-class EndLooks
+class ProcessEndProbe
 {
 public:
     /// Called with what a look found.
-    using Found = std::function<void(const ProbeTarget&, PortLook)>;
+    using ProbeCallback = std::function<void(const ProbeTarget&, PortLook)>;
     /// Called at each round, for verdicts that come with time.
-    using Settle = std::function<void()>;
+    using RoundCallback = std::function<void()>;
 
     /// `breaks` and `added`, which is nudged with each break, outlive it.
-    EndLooks(Guarded<UnresolvedFailures>& breaks, Nudger& added, Found found,
-             Settle settle);
-    ~EndLooks();
-    EndLooks(const EndLooks&) = delete;
-    EndLooks& operator=(const EndLooks&) = delete;
+    ProcessEndProbe(Guarded<UnresolvedFailures>& failures,
+                    Nudger& failure_added, ProbeCallback on_probe,
+                    RoundCallback on_round);
+    ~ProcessEndProbe();
+    ProcessEndProbe(const ProcessEndProbe&) = delete;
+    ProcessEndProbe& operator=(const ProcessEndProbe&) = delete;
 
 private:
-    Micros round();
+    Micros run_round();
 
-    Guarded<UnresolvedFailures>& m_breaks;
-    Nudger& m_added;
-    const Found m_found;
-    const Settle m_settle;
+    Guarded<UnresolvedFailures>& m_failures;
+    Nudger& m_failure_added;
+    const ProbeCallback m_on_probe;
+    const RoundCallback m_on_round;
     Duty m_duty;
 };
 
