--- a/src/serve/completion_run.cpp
+++ b/src/serve/completion_run.cpp
@@ -386,7 +386,7 @@
     if (look_at_port(address).fate == ProcessFate::Ended)
         m_state.engine_ended(address);
     else
-        m_state.unresolved_failure_added.nudge();
+        m_state.unresolved_failure_added.wake();
 }
 
 void
--- a/src/serve/configuration_duties.cpp
+++ b/src/serve/configuration_duties.cpp
@@ -93,12 +93,12 @@
       m_watch("configuration-watch", [this] { return watch_round(); }),
       m_pull("configuration-pull", [this] { return pull_round(); })
 {
-    m_state.configuration_pull.set(&m_pull);
+    m_state.configuration_pull.set_duty(&m_pull);
 }
 
 ConfigurationDuties::~ConfigurationDuties()
 {
-    m_state.configuration_pull.set(nullptr);
+    m_state.configuration_pull.set_duty(nullptr);
 }
 
 Micros
--- a/src/serve/coordinator/coordinator.cpp
+++ b/src/serve/coordinator/coordinator.cpp
@@ -87,8 +87,8 @@
         plan_release();
     m_kept.follow_map();
     if (taken) {
-        m_weights.nudge();
-        m_kept.nudge();
+        m_weights.wake();
+        m_kept.wake();
     }
 }
 
@@ -237,11 +237,11 @@
             newest[model] = history.newest();
     });
     if (free || map != m_seen_map)
-        m_lease_duty.nudge();
+        m_lease_duty.wake();
     m_seen_map = map;
     if (newest != m_seen_weights) {
-        m_weights.nudge();
-        m_rollouts.nudge();
+        m_weights.wake();
+        m_rollouts.wake();
     }
     m_seen_weights = newest;
 }
--- a/src/serve/coordinator/kept_duties.cpp
+++ b/src/serve/coordinator/kept_duties.cpp
@@ -51,10 +51,10 @@
 }
 
 void
-KeptDuties::nudge()
+KeptDuties::wake()
 {
     for (const auto& [address, duty] : m_store_duties)
-        duty->nudge();
+        duty->wake();
 }
 
 KeptAnswer
--- a/src/serve/coordinator/kept_duties.h
+++ b/src/serve/coordinator/kept_duties.h
@@ -38,7 +38,7 @@
     void follow_map();
     /// Looks at the stores at once, at the beginning of the duty. Called by
     /// the thread of follow_map().
-    void nudge();
+    void wake();
     /// Answers where `parts` lie, for a call that ends within `longest`, as of
     /// `now`, at which this instance may tell. Throws Error(LeaseLost) after
     /// stop_answering().
--- a/src/serve/coordinator/rollout_duty.h
+++ b/src/serve/coordinator/rollout_duty.h
@@ -24,7 +24,7 @@
     explicit RolloutDuty(ForwardState& state);
 
     /// Looks at once for what is to be recorded.
-    void nudge() { m_duty.nudge(); }
+    void wake() { m_duty.wake(); }
 
 private:
     /// A version that is not recorded yet.
--- a/src/serve/coordinator/weights_duty.h
+++ b/src/serve/coordinator/weights_duty.h
@@ -30,7 +30,7 @@
     /// Begins with an empty plan: the duty is this instance's from now on.
     void begin();
     /// Looks at once for what is to be done.
-    void nudge() { m_duty.nudge(); }
+    void wake() { m_duty.wake(); }
     /// Returns the runners that were told to load.
     std::vector<std::string> loading();
     /// Returns the weights that runners have loaded a moment ago.
--- a/src/serve/duty.cpp
+++ b/src/serve/duty.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr Micros after_failure = std::chrono::seconds(1);
+constexpr Micros failure_delay = std::chrono::seconds(1);
 
 } // namespace
 
@@ -34,11 +34,11 @@
 }
 
 void
-Duty::nudge()
+Duty::wake()
 {
     {
         const std::lock_guard lock(m_mutex);
-        m_nudged = true;
+        m_woken = true;
     }
     m_changed.notify_all();
 }
@@ -47,17 +47,17 @@
 Duty::work()
 {
     for (;;) {
-        Micros wait = after_failure;
+        Micros wait = failure_delay;
         try {
             wait = m_round();
         } catch (const std::exception& failure) {
             spdlog::warn("duty={} failed: {}", m_name, failure.what());
         }
         std::unique_lock lock(m_mutex);
-        m_changed.wait_for(lock, wait, [this] { return m_nudged || m_stop; });
+        m_changed.wait_for(lock, wait, [this] { return m_woken || m_stop; });
         if (m_stop)
             return;
-        m_nudged = false;
+        m_woken = false;
     }
 }
 
--- a/src/serve/duty.h
+++ b/src/serve/duty.h
@@ -15,7 +15,7 @@
 {
 
 /// A thread with one duty that is done again and again: after a period, or at
-/// once where it is nudged.
+/// once after wake().
 class Duty
 {
 public:
@@ -30,7 +30,7 @@
     Duty& operator=(const Duty&) = delete;
 
     /// Lets the next round begin at once.
-    void nudge();
+    void wake();
 
 private:
     void work();
@@ -39,7 +39,7 @@
     const Round m_round;
     std::mutex m_mutex;
     std::condition_variable m_changed;
-    bool m_nudged = false;
+    bool m_woken = false;
     bool m_stop = false;
     std::thread m_thread;
 };
--- a/src/serve/nudger.h
+++ b/src/serve/duty_waker.h
@@ -10,22 +10,22 @@
 namespace crosslink
 {
 
-/// Lets one duty nudge another that may not be there yet, or not any more.
-class Nudger
+/// Lets one duty wake another, which may not exist yet or any more.
+class DutyWaker
 {
 public:
-    /// Sets the duty that nudge() reaches; null for none.
-    void set(Duty* duty)
+    /// Sets the duty that wake() reaches; null for none.
+    void set_duty(Duty* duty)
     {
         const std::lock_guard lock(m_mutex);
         m_duty = duty;
     }
 
-    void nudge()
+    void wake()
     {
         const std::lock_guard lock(m_mutex);
         if (m_duty)
-            m_duty->nudge();
+            m_duty->wake();
     }
 
 private:
--- a/src/serve/fleet/change_applier.cpp
+++ b/src/serve/fleet/change_applier.cpp
@@ -153,7 +153,7 @@
         else
             breaks.gone(incarnation, gone->zone, of_zone, monotonic_now());
     });
-    m_state.unresolved_failure_added.nudge();
+    m_state.unresolved_failure_added.wake();
 }
 
 void
--- a/src/serve/forward/crash_watch.cpp
+++ b/src/serve/forward/crash_watch.cpp
@@ -45,7 +45,7 @@
     if (fate == ProcessFate::Ended || known)
         m_state.note_runner_exit(runner.incarnation(), "port");
     else
-        m_state.unresolved_failure_added.nudge();
+        m_state.unresolved_failure_added.wake();
     LogLine("runner_looked_at")
         .field("request", m_call.id)
         .field("digest", digest())
--- a/src/serve/forward/forward_state.h
+++ b/src/serve/forward/forward_state.h
@@ -8,11 +8,11 @@
 
 #include <adapters/call_connections.h>
 #include <adapters/connection_times.h>
+#include <serve/duty_waker.h>
 #include <serve/fleet/exchange.h>
 #include <serve/guarded.h>
 #include <serve/learned_signal.h>
 #include <serve/metrics.h>
-#include <serve/nudger.h>
 
 #include <crosslink/base/time.h>
 #include <crosslink/forward/crash_history.h>
@@ -126,8 +126,8 @@
     Guarded<FairShareTracker> turns; ///< At runners that named limits.
     Guarded<CrashHistory> crashes;
     Guarded<UnresolvedFailures> breaks;
-    Nudger unresolved_failure_added; ///< Reaches the looks at ports, while they
-                                     ///< run.
+    DutyWaker unresolved_failure_added; ///< Reaches the looks at ports, while
+                                        ///< they run.
     Guarded<FetchDelayTracker> fetches;
     Guarded<KeptReplica> kept;
     Guarded<DutyLease> coordinator_lease;
--- a/src/serve/gossip_duty.cpp
+++ b/src/serve/gossip_duty.cpp
@@ -27,12 +27,12 @@
 GossipDuty::GossipDuty(InstanceState& state)
     : m_state(state), m_duty("gossip", [this] { return round(); })
 {
-    m_state.gossip_now.set(&m_duty);
+    m_state.gossip_now.set_duty(&m_duty);
 }
 
 GossipDuty::~GossipDuty()
 {
-    m_state.gossip_now.set(nullptr);
+    m_state.gossip_now.set_duty(nullptr);
 }
 
 Micros
@@ -99,7 +99,7 @@
                 now + std::chrono::milliseconds(mark.expires_in_ms));
     });
     if (newest && newest->revision > m_state.configuration.revision())
-        m_state.configuration_pull.nudge();
+        m_state.configuration_pull.wake();
 }
 
 GossipMessage
--- a/src/serve/instance_state.cpp
+++ b/src/serve/instance_state.cpp
@@ -75,7 +75,7 @@
         return false;
     members.with(
         [revision](MemberTable& table) { table.set_revision(revision); });
-    gossip_now.nudge();
+    gossip_now.wake();
     ++metrics.configuration_changes;
     spdlog::info("revision={} is in force", revision);
     return true;
--- a/src/serve/instance_state.h
+++ b/src/serve/instance_state.h
@@ -4,9 +4,9 @@
 #pragma once
 
 #include "clients.h"
+#include "duty_waker.h"
 #include "guarded.h"
 #include "metrics.h"
-#include "nudger.h"
 #include "settings.h"
 #include "upstream_directory.h"
 
@@ -63,10 +63,10 @@
     /// Prompts under which engines ended, as this instance saw it.
     Guarded<CrashHistory> crashes;
     Guarded<UnresolvedFailures> breaks; ///< That wait for a verdict.
-    Nudger unresolved_failure_added;    ///< Reaches the looks at ports.
+    DutyWaker unresolved_failure_added; ///< Reaches the looks at ports.
     Metrics metrics;
-    Nudger configuration_pull;         ///< A peer told a newer revision.
-    Nudger gossip_now;                 ///< There is news to spread at once.
+    DutyWaker configuration_pull;      ///< A peer told a newer revision.
+    DutyWaker gossip_now;              ///< There is news to spread at once.
     std::atomic<bool> ready{false};    ///< It may serve.
     std::atomic<bool> stopping{false}; ///< A planned stop has begun.
 
--- a/src/serve/process_end_probe.cpp
+++ b/src/serve/process_end_probe.cpp
@@ -15,25 +15,25 @@
 namespace
 {
 
-/// Between two rounds where nothing is due: a break nudges the next one.
+/// Between two rounds where nothing is due: a failure wakes the duty.
 constexpr Micros idle_pause = std::chrono::seconds(60);
 constexpr Micros min_pause = std::chrono::milliseconds(20);
 
 } // namespace
 
 ProcessEndProbe::ProcessEndProbe(Guarded<UnresolvedFailures>& failures,
-                                 Nudger& failure_added, ProbeCallback on_probe,
-                                 RoundCallback on_round)
+                                 DutyWaker& failure_added,
+                                 ProbeCallback on_probe, RoundCallback on_round)
     : m_failures(failures), m_failure_added(failure_added),
       m_on_probe(std::move(on_probe)), m_on_round(std::move(on_round)),
       m_duty("end_looks", [this] { return run_round(); })
 {
-    m_failure_added.set(&m_duty);
+    m_failure_added.set_duty(&m_duty);
 }
 
 ProcessEndProbe::~ProcessEndProbe()
 {
-    m_failure_added.set(nullptr);
+    m_failure_added.set_duty(nullptr);
 }
 
 Micros
--- a/src/serve/process_end_probe.h
+++ b/src/serve/process_end_probe.h
@@ -4,8 +4,8 @@
 #pragma once
 
 #include "duty.h"
+#include "duty_waker.h"
 #include "guarded.h"
-#include "nudger.h"
 
 #include <adapters/port_look.h>
 #include <crosslink/forward/unresolved_failures.h>
@@ -26,9 +26,10 @@
     /// Called at each round, for verdicts that come with time.
     using RoundCallback = std::function<void()>;
 
-    /// `breaks` and `added`, which is nudged with each break, outlive it.
+    /// `failures` and `failure_added`, which is woken at each failure, outlive
+    /// it.
     ProcessEndProbe(Guarded<UnresolvedFailures>& failures,
-                    Nudger& failure_added, ProbeCallback on_probe,
+                    DutyWaker& failure_added, ProbeCallback on_probe,
                     RoundCallback on_round);
     ~ProcessEndProbe();
     ProcessEndProbe(const ProcessEndProbe&) = delete;
@@ -38,7 +39,7 @@
     Micros run_round();
 
     Guarded<UnresolvedFailures>& m_failures;
-    Nudger& m_failure_added;
+    DutyWaker& m_failure_added;
     const ProbeCallback m_on_probe;
     const RoundCallback m_on_round;
     Duty m_duty;
