--- a/src/build-scripts/mutate.py
+++ b/src/build-scripts/mutate.py
@@ -146,7 +146,7 @@
      "src/libcrosslink/forward/runner_price.cpp",
      "known.tokens -= read_since_told", "known.tokens -= 0 * read_since_told",
      "unit.*large fleet|unit.*unread"),
-    ("dispatch before claim", "src/serve/once.cpp",
+    ("dispatch before claim", "src/serve/at_most_once_runner.cpp",
      "verdict.kind == ClaimVerdict::Kind::Held", "false",
      "claim|dispatch|settle"),
     ("take a lost race for a win", "src/libcrosslink/claim/claim_committer.cpp",
--- a/src/serve/once.cpp
+++ b/src/serve/at_most_once_runner.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include "once.h"
+#include "at_most_once_runner.h"
 
 #include <adapters/clock.h>
 #include <adapters/random.h>
@@ -19,18 +19,19 @@
 
 /// A key may be made by a clock that is ahead by this much; one that is
 /// further ahead would be remembered for too long.
-constexpr UnixMillis clock_slack_ms = 300'000;
-constexpr Micros come_back = std::chrono::seconds(1);
+constexpr UnixMillis max_clock_skew_ms = 300'000;
+constexpr Micros retry_delay = std::chrono::seconds(1);
 
 } // namespace
 
-Once::Once(InstanceState& state, ClaimHandler& claim_handler)
+AtMostOnceRunner::AtMostOnceRunner(InstanceState& state,
+                                   ClaimHandler& claim_handler)
     : m_state(state), m_claim_handler(claim_handler)
 {
 }
 
 Claim
-Once::claim_for(const OnceCall& call) const
+AtMostOnceRunner::make_claim(const AtMostOnceCall& call) const
 {
     const UnixMillis now = unix_now();
     Claim claim;
@@ -45,16 +46,16 @@
                     "an Idempotency-Key must be a UUID of version 7 "
                     "(RFC 9562), so that its age is known");
     claim.key_time = key_time.value_or(now);
-    if (claim.key_time > now + clock_slack_ms)
+    if (claim.key_time > now + max_clock_skew_ms)
         throw Error(ErrorCode::UndatedKey,
                     "the Idempotency-Key is from the future");
     return claim;
 }
 
-Once::Result
-Once::run(const OnceCall& call, const Dispatch& dispatch)
+AtMostOnceRunner::Result
+AtMostOnceRunner::run(const AtMostOnceCall& call, const Dispatch& dispatch)
 {
-    const Claim claim = claim_for(call);
+    const Claim claim = make_claim(call);
     const TimePoint began = monotonic_now();
     ClaimVerdict verdict;
     try {
@@ -99,9 +100,9 @@
     }
 }
 
-Once::Result
-Once::replay(const OnceCall& call, const Claim& claim,
-             const std::string& holder)
+AtMostOnceRunner::Result
+AtMostOnceRunner::replay(const AtMostOnceCall& call, const Claim& claim,
+                         const std::string& holder)
 {
     HeldAnswer held;
     if (holder == m_state.self_address()) {
@@ -126,7 +127,7 @@
     if (held.state == HeldAnswer::State::Running)
         throw Error(ErrorCode::ClaimInProgress,
                     "an earlier request with this key is being run",
-                    RunState::MayHaveRun, come_back);
+                    RunState::MayHaveRun, retry_delay);
     return {std::move(held.answer), true};
 }
 
--- a/src/serve/once.h
+++ b/src/serve/at_most_once_runner.h
@@ -19,7 +19,7 @@
 {
 
 /// What an unrepeatable call is known by.
-struct OnceCall {
+struct AtMostOnceCall {
     const ClientAccount* account = nullptr;
     std::string service; ///< Plain service or model.
     std::string idempotency_key;
@@ -28,13 +28,13 @@
 
 /// Runs calls that may run at most once: the claim is committed before the
 /// dispatch, and a retry gets the kept answer or a typed error, never a rerun.
-class Once
+class AtMostOnceRunner
 {
 public:
     /// Dispatches the call, and returns its whole answer.
     using Dispatch = std::function<PlainAnswer()>;
 
-    Once(InstanceState& state, ClaimHandler& claim_handler);
+    AtMostOnceRunner(InstanceState& state, ClaimHandler& claim_handler);
 
     /// Returns the answer, and whether it is a kept one. Throws Error; those
     /// from `dispatch` pass through after the claim was settled.
@@ -42,11 +42,11 @@
         PlainAnswer answer;
         bool replayed = false;
     };
-    Result run(const OnceCall& call, const Dispatch& dispatch);
+    Result run(const AtMostOnceCall& call, const Dispatch& dispatch);
 
 private:
-    Claim claim_for(const OnceCall& call) const;
-    Result replay(const OnceCall& call, const Claim& claim,
+    Claim make_claim(const AtMostOnceCall& call) const;
+    Result replay(const AtMostOnceCall& call, const Claim& claim,
                   const std::string& holder);
 
     InstanceState& m_state;
--- a/src/serve/request_path.cpp
+++ b/src/serve/request_path.cpp
@@ -58,7 +58,7 @@
 
 RequestPath::RequestPath(InstanceState& state, ClaimHandler& claim_handler,
                          RunDuties duties)
-    : m_state(state), m_once(state, claim_handler), m_plain(state),
+    : m_state(state), m_at_most_once(state, claim_handler), m_plain(state),
       m_gate(state), m_duties(duties)
 {
 }
@@ -130,10 +130,10 @@
             reply.answer(answer, {});
         return;
     }
-    const OnceCall once{&account, path_only(request.path),
-                        request.idempotency_key, fingerprint_of(request)};
-    const Once::Result result =
-        m_once.run(once, [&] { return run_completion(call, request, reply); });
+    const AtMostOnceCall once{&account, path_only(request.path),
+                              request.idempotency_key, fingerprint_of(request)};
+    const AtMostOnceRunner::Result result = m_at_most_once.run(
+        once, [&] { return run_completion(call, request, reply); });
     if (!reply.streaming())
         reply.answer(result.answer, {{"Idempotency-Replayed",
                                       result.replayed ? "true" : "false"}});
@@ -271,9 +271,10 @@
     }
     // The claim is on the caller's service name, not on where it runs, so that
     // a change of the split does not open the way for a second run.
-    const OnceCall named{&account, path_only(request.path),
-                         request.idempotency_key, fingerprint_of(request)};
-    const Once::Result result = m_once.run(named, dispatch);
+    const AtMostOnceCall named{&account, path_only(request.path),
+                               request.idempotency_key,
+                               fingerprint_of(request)};
+    const AtMostOnceRunner::Result result = m_at_most_once.run(named, dispatch);
     reply.answer(result.answer, {{"Idempotency-Replayed",
                                   result.replayed ? "true" : "false"}});
 }
--- a/src/serve/request_path.h
+++ b/src/serve/request_path.h
@@ -4,11 +4,11 @@
 #pragma once
 
 #include "admission_gate.h"
+#include "at_most_once_runner.h"
 #include "caller.h"
 #include "claim_handler.h"
 #include "completion_run.h"
 #include "instance_state.h"
-#include "once.h"
 #include "plain_calls.h"
 
 #include <string_view>
@@ -54,7 +54,7 @@
                 const CallerRequest& request);
 
     InstanceState& m_state;
-    Once m_once;
+    AtMostOnceRunner m_at_most_once;
     PlainCalls m_plain;
     AdmissionGate m_gate;
     RunDuties m_duties;
