--- a/src/serve/completion_run.cpp
+++ b/src/serve/completion_run.cpp
@@ -94,7 +94,7 @@
             refuse_blocked();
             attempt(route());
             if (m_relay.finished())
-                m_crashes.answered();
+                m_crashes.record_answer();
             return;
         } catch (const Error& failure) {
             if (m_caller_gone)
@@ -173,7 +173,7 @@
 CompletionRun::begin_run(const RouteChoice& choice, const EngineRun& run)
 {
     m_relay.begin_attempt(run.run_id);
-    m_crashes.sent();
+    m_crashes.record_send();
     m_gap = false;
     m_state.routing.with([&](Routing& routing) {
         // A mark may have come while blocks were fetched.
@@ -382,7 +382,7 @@
 void
 CompletionRun::note_if_ended(const std::string& address)
 {
-    m_crashes.broke({address, 0, address}, true);
+    m_crashes.record_failure({address, 0, address}, true);
     if (look_at_port(address).fate == ProcessFate::Ended)
         m_state.engine_ended(address);
     else
--- a/src/serve/forward/crash_watch.cpp
+++ b/src/serve/forward/crash_watch.cpp
@@ -41,7 +41,7 @@
 {
     const ProcessFate fate = fate_of(runner);
     const bool known =
-        broke({runner.id, runner.start_ms, runner.address}, true);
+        record_failure({runner.id, runner.start_ms, runner.address}, true);
     if (fate == ProcessFate::Ended || known)
         m_state.note_runner_exit(runner.incarnation(), "port");
     else
@@ -57,14 +57,14 @@
 void
 CrashWatch::failed(const RunnerPick& runner)
 {
-    if (broke({runner.id, runner.start_ms, runner.address}, false))
+    if (record_failure({runner.id, runner.start_ms, runner.address}, false))
         m_state.note_runner_exit(runner.incarnation(), "port");
 }
 
 void
 CrashWatch::served(const RunnerPick& runner, TimePoint sent_at)
 {
-    answered();
+    record_answer();
     m_state.breaks.with([&](UnresolvedFailures& breaks) {
         if (!breaks.empty())
             breaks.lives(runner.incarnation(), sent_at);
--- a/src/serve/forward/forward_run.cpp
+++ b/src/serve/forward/forward_run.cpp
@@ -190,7 +190,7 @@
     m_answered_failure = false;
     m_choice.sent(m_prompt.tokens_to_read(), resident_tokens(), m_sent_at);
     m_prompt.sent(m_sent_at, m_choice.pick().wait);
-    m_crashes.sent();
+    m_crashes.record_send();
     ++m_sends;
     ++m_state.counters.sends;
 }
--- a/src/serve/forward/forward_state_ends.cpp
+++ b/src/serve/forward/forward_state_ends.cpp
@@ -70,7 +70,7 @@
 {
     if (calls.empty())
         return;
-    counters.runner_ends += take_ends(crashes, calls);
+    counters.runner_ends += record_process_ends(crashes, calls);
     for (const InterruptedCall& call : calls)
         LogLine("runner_ended")
             .field("runner", call.runner)
--- a/src/serve/instance_state.cpp
+++ b/src/serve/instance_state.cpp
@@ -30,7 +30,7 @@
     const auto calls = breaks.with([&address](UnresolvedFailures& open) {
         return open.ended({address, 0}, monotonic_now());
     });
-    take_ends(crashes, calls);
+    record_process_ends(crashes, calls);
     for (const InterruptedCall& call : calls)
         spdlog::info("engine={} ended under digest={}", address, call.request);
 }
--- a/src/serve/request_crashes.cpp
+++ b/src/serve/request_crashes.cpp
@@ -11,10 +11,10 @@
 {
 
 RequestCrashes::RequestCrashes(Guarded<CrashHistory>& history,
-                               Guarded<UnresolvedFailures>& breaks,
-                               MakeDigest make_digest)
-    : m_history(history), m_breaks(breaks),
-      m_make_digest(std::move(make_digest))
+                               Guarded<UnresolvedFailures>& failures,
+                               DigestFunction compute_digest)
+    : m_history(history), m_failures(failures),
+      m_compute_digest(std::move(compute_digest))
 {
 }
 
@@ -22,13 +22,13 @@
 RequestCrashes::digest()
 {
     if (m_digest.empty())
-        m_digest = m_make_digest();
+        m_digest = m_compute_digest();
     return m_digest;
 }
 
 /// Where no upstream ended lately, no digest needs to be worked out.
 bool
-RequestCrashes::is_suspect()
+RequestCrashes::has_recent_ends()
 {
     return m_history.with(
         [](const CrashHistory& history) { return !history.empty(); });
@@ -37,9 +37,10 @@
 bool
 RequestCrashes::blocked()
 {
-    return is_suspect() && m_history.with([this](const CrashHistory& history) {
-        return history.blocked(digest(), monotonic_now());
-    });
+    return has_recent_ends() &&
+           m_history.with([this](const CrashHistory& history) {
+               return history.blocked(digest(), monotonic_now());
+           });
 }
 
 /// A break without a verdict counts too: the next copy may be sent, and end the
@@ -48,18 +49,18 @@
 RequestCrashes::failed_before()
 {
     const bool ended =
-        is_suspect() && m_history.with([this](const auto& history) {
+        has_recent_ends() && m_history.with([this](const auto& history) {
             return history.ends(digest()) > 0;
         });
-    return ended || m_breaks.with([this](const UnresolvedFailures& breaks) {
-        return !breaks.empty() && breaks.has(digest(), monotonic_now());
+    return ended || m_failures.with([this](const UnresolvedFailures& failures) {
+        return !failures.empty() && failures.has(digest(), monotonic_now());
     });
 }
 
 void
-RequestCrashes::answered()
+RequestCrashes::record_answer()
 {
-    if (!is_suspect())
+    if (!has_recent_ends())
         return;
     m_history.with([this](CrashHistory& history) {
         const TimePoint now = monotonic_now();
@@ -68,22 +69,22 @@
 }
 
 bool
-RequestCrashes::broke(const ProbeTarget& upstream, bool is_looked_at)
+RequestCrashes::record_failure(const ProbeTarget& upstream, bool is_probed)
 {
     const TimePoint now = monotonic_now();
     if (m_again)
         m_history.with(
             [&](CrashHistory& history) { history.hold(digest(), now, now); });
-    return m_breaks.with([&](UnresolvedFailures& breaks) {
-        return breaks.add({digest(), upstream.runner, upstream.start_ms,
-                           upstream.address, m_again, now, is_looked_at},
-                          now);
+    return m_failures.with([&](UnresolvedFailures& failures) {
+        return failures.add({digest(), upstream.runner, upstream.start_ms,
+                             upstream.address, m_again, now, is_probed},
+                            now);
     });
 }
 
 std::size_t
-take_ends(Guarded<CrashHistory>& history,
-          std::span<const InterruptedCall> calls)
+record_process_ends(Guarded<CrashHistory>& history,
+                    std::span<const InterruptedCall> calls)
 {
     if (calls.empty())
         return 0;
--- a/src/serve/request_crashes.h
+++ b/src/serve/request_crashes.h
@@ -21,12 +21,13 @@
 class RequestCrashes
 {
 public:
-    using MakeDigest = std::function<std::string()>;
+    using DigestFunction = std::function<std::string()>;
 
     /// `history` and `breaks` outlive it. `make_digest` is called once at most,
     /// and only where it matters: it reads the whole request.
     RequestCrashes(Guarded<CrashHistory>& history,
-                   Guarded<UnresolvedFailures>& breaks, MakeDigest make_digest);
+                   Guarded<UnresolvedFailures>& failures,
+                   DigestFunction compute_digest);
 
     /// Returns whether the request is to be sent nowhere.
     bool blocked();
@@ -34,12 +35,12 @@
     /// ago.
     bool failed_before();
     /// Takes note that it is sent to an upstream.
-    void sent() { m_again = failed_before(); }
+    void record_send() { m_again = failed_before(); }
     /// Takes note that an upstream answered it whole.
-    void answered();
+    void record_answer();
     /// Takes note that `upstream`, to which it was sent last, broke it off, or
     /// answered that it failed. Returns whether it is known to have ended.
-    bool broke(const ProbeTarget& upstream, bool is_looked_at);
+    bool record_failure(const ProbeTarget& upstream, bool is_probed);
 
     /// See request_digest().
     const std::string& digest();
@@ -47,17 +48,17 @@
     bool again() const { return m_again; }
 
 private:
-    bool is_suspect();
+    bool has_recent_ends();
 
     Guarded<CrashHistory>& m_history;
-    Guarded<UnresolvedFailures>& m_breaks;
-    const MakeDigest m_make_digest;
+    Guarded<UnresolvedFailures>& m_failures;
+    const DigestFunction m_compute_digest;
     std::string m_digest; ///< Empty before it is asked for.
     bool m_again = false;
 };
 
 /// Takes in calls under which a process ended. Returns how many.
-std::size_t take_ends(Guarded<CrashHistory>& history,
-                      std::span<const InterruptedCall> calls);
+std::size_t record_process_ends(Guarded<CrashHistory>& history,
+                                std::span<const InterruptedCall> calls);
 
 } // namespace crosslink
