--- a/src/serve/admission_gate.cpp
+++ b/src/serve/admission_gate.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr Micros come_back = std::chrono::seconds(1);
+constexpr Micros retry_delay = std::chrono::seconds(1);
 
 AdmissionRules
 rules_of(const Settings& settings)
@@ -32,7 +32,7 @@
 {
 }
 
-std::unique_ptr<AdmissionGate::Place>
+std::unique_ptr<AdmissionGate::Slot>
 AdmissionGate::enter(const ClientAccount& account, std::uint64_t tokens)
 {
     const double share = m_state.limit_share();
@@ -46,9 +46,9 @@
             m_admission.withdraw(ticket.number))
             throw Error(ErrorCode::DeadlineUnreachable,
                         "no place became free in time", RunState::NotDispatched,
-                        come_back);
+                        retry_delay);
     }
-    return std::make_unique<Place>(*this, ticket.number);
+    return std::make_unique<Slot>(*this, ticket.number);
 }
 
 void
--- a/src/serve/admission_gate.h
+++ b/src/serve/admission_gate.h
@@ -24,16 +24,16 @@
     explicit AdmissionGate(InstanceState& state);
 
     /// A place that was given; it is free again at the end of this object.
-    class Place
+    class Slot
     {
     public:
-        Place(AdmissionGate& gate, std::uint64_t ticket)
+        Slot(AdmissionGate& gate, std::uint64_t ticket)
             : m_gate(gate), m_ticket(ticket)
         {
         }
-        ~Place() { m_gate.release(m_ticket); }
-        Place(const Place&) = delete;
-        Place& operator=(const Place&) = delete;
+        ~Slot() { m_gate.release(m_ticket); }
+        Slot(const Slot&) = delete;
+        Slot& operator=(const Slot&) = delete;
 
     private:
         AdmissionGate& m_gate;
@@ -43,8 +43,8 @@
     /// Returns once the request may go on. Throws Error with RateLimited,
     /// ConcurrencyLimited, QueueFull, or DeadlineUnreachable after the longest
     /// wait.
-    std::unique_ptr<Place> enter(const ClientAccount& account,
-                                 std::uint64_t tokens);
+    std::unique_ptr<Slot> enter(const ClientAccount& account,
+                                std::uint64_t tokens);
     /// Returns the accounts that have requests open.
     std::vector<AccountUse> in_use();
     /// Returns the number of requests that run and that wait.
--- a/src/serve/canceler.cpp
+++ b/src/serve/canceler.cpp
@@ -14,29 +14,30 @@
 namespace
 {
 
-constexpr std::size_t ring_capacity = 1024;
+constexpr std::size_t queue_capacity = 1024;
 
 } // namespace
 
 Canceler::Canceler(InstanceState& state)
-    : m_state(state), m_ring(ring_capacity), m_thread([this] { work(); })
+    : m_state(state), m_queue(queue_capacity),
+      m_thread([this] { process_queue(); })
 {
 }
 
 Canceler::~Canceler()
 {
-    m_ring.close();
+    m_queue.close();
     m_thread.join();
 }
 
 void
-Canceler::work()
+Canceler::process_queue()
 {
-    while (const auto order = m_ring.pop()) {
+    while (const auto request = m_queue.pop()) {
         try {
-            m_state.clients.engine(order->engine)->cancel(order->run_id);
+            m_state.clients.engine(request->engine)->cancel(request->run_id);
         } catch (const Error& failure) {
-            spdlog::debug("cancel at {}: {}", order->engine, failure.what());
+            spdlog::debug("cancel at {}: {}", request->engine, failure.what());
         }
     }
 }
--- a/src/serve/canceler.h
+++ b/src/serve/canceler.h
@@ -14,7 +14,7 @@
 {
 
 /// A run that nobody waits for any more.
-struct CancelOrder {
+struct CancelRequest {
     std::string engine; ///< Address.
     std::string run_id;
 };
@@ -29,13 +29,13 @@
     Canceler(const Canceler&) = delete;
     Canceler& operator=(const Canceler&) = delete;
 
-    void add(CancelOrder order) { m_ring.push(std::move(order)); }
+    void add(CancelRequest request) { m_queue.push(std::move(request)); }
 
 private:
-    void work();
+    void process_queue();
 
     InstanceState& m_state;
-    BoundedRing<CancelOrder> m_ring;
+    BoundedRing<CancelRequest> m_queue;
     std::thread m_thread;
 };
 
--- a/src/serve/completion_run.cpp
+++ b/src/serve/completion_run.cpp
@@ -22,11 +22,11 @@
 namespace
 {
 
-constexpr Micros leaving_mark = std::chrono::seconds(5);
-constexpr Micros come_back = std::chrono::seconds(1);
-constexpr int most_resumes = 3;
+constexpr Micros min_leaving_time = std::chrono::seconds(5);
+constexpr Micros retry_delay = std::chrono::seconds(1);
+constexpr int max_resumes = 3;
 /// Pause before the second resume; it doubles, and half of it is jitter.
-constexpr Micros resume_pause = std::chrono::milliseconds(100);
+constexpr Micros resume_backoff = std::chrono::milliseconds(100);
 
 /// Returns what is the same for all attempts of one prompt; see
 /// request_digest().
@@ -40,7 +40,7 @@
 
 /// Returns between half of `span` and all of it.
 Micros
-jittered(Micros span)
+with_jitter(Micros span)
 {
     const auto half = static_cast<std::uint64_t>(span.count() / 2);
     return span / 2 + Micros(random_bits() % (half + 1));
@@ -50,22 +50,24 @@
 class WatchedCaller
 {
 public:
-    WatchedCaller(CallerWatch& watch, int socket, std::function<void()> gone)
+    WatchedCaller(CallerWatch& watch, int socket,
+                  std::function<void()> on_disconnect)
         : m_watch(watch),
-          m_number(socket < 0 ? 0 : watch.watch(socket, std::move(gone)))
+          m_watch_id(socket < 0 ? 0
+                                : watch.watch(socket, std::move(on_disconnect)))
     {
     }
     ~WatchedCaller()
     {
-        if (m_number != 0)
-            m_watch.forget(m_number);
+        if (m_watch_id != 0)
+            m_watch.forget(m_watch_id);
     }
     WatchedCaller(const WatchedCaller&) = delete;
     WatchedCaller& operator=(const WatchedCaller&) = delete;
 
 private:
     CallerWatch& m_watch;
-    const std::uint64_t m_number;
+    const std::uint64_t m_watch_id;
 };
 
 } // namespace
@@ -88,10 +90,10 @@
     m_state.retry_budgets.with([this](RetryBudgets& budgets) {
         budgets[m_call.account->name].first_try();
     });
-    m_kept = find_kept(m_state, m_call);
+    m_kept_blocks = lookup_kept_blocks(m_state, m_call);
     for (;;) {
         try {
-            refuse_blocked();
+            reject_if_blocked();
             attempt(route());
             if (m_relay.finished())
                 m_crashes.record_answer();
@@ -100,8 +102,9 @@
             if (m_caller_gone)
                 return;
             if (!may_try_again(failure))
-                throw failure.with_run_state(
-                    m_dispatched ? RunState::MayHaveRun : failure.run_state());
+                throw failure.with_run_state(m_may_have_run
+                                                 ? RunState::MayHaveRun
+                                                 : failure.run_state());
         }
     }
 }
@@ -116,9 +119,9 @@
     request.keys = m_call.keys;
     request.prompt_tokens = m_call.prompt_tokens;
     request.zone = m_state.settings.zone;
-    request.store = m_kept.store;
-    request.kept = m_kept.blocks;
-    request.avoid = &m_avoid;
+    request.store = m_kept_blocks.store;
+    request.kept = m_kept_blocks.blocks;
+    request.avoid = &m_failed_engines;
     request.random = random_bits();
     const TimePoint now = monotonic_now();
     const auto choice = m_state.routing.with([&](Routing& routing) {
@@ -128,7 +131,7 @@
     if (!choice)
         throw Error(ErrorCode::NoUpstream,
                     "no engine with this model takes work now",
-                    RunState::NotDispatched, come_back);
+                    RunState::NotDispatched, retry_delay);
     return *choice;
 }
 
@@ -137,7 +140,8 @@
 {
     ++m_attempts;
     try {
-        const std::string staged = fetch_kept(m_state, m_call, m_kept, choice);
+        const std::string staged =
+            fetch_kept_blocks(m_state, m_call, m_kept_blocks, choice);
         // Nobody waits for it any more: nothing is sent.
         if (m_caller_gone)
             return;
@@ -146,13 +150,13 @@
             routing.engines.succeeded(choice.engine);
         });
     } catch (const Error& failure) {
-        settle_failure(choice.engine, failure);
+        handle_failure(choice.engine, failure);
         throw;
     }
 }
 
 EngineRun
-CompletionRun::next_run() const
+CompletionRun::make_engine_run() const
 {
     EngineRun run;
     run.run_id = m_call.request_id + "-" + std::to_string(m_attempts);
@@ -170,11 +174,11 @@
 }
 
 void
-CompletionRun::begin_run(const RouteChoice& choice, const EngineRun& run)
+CompletionRun::record_attempt(const RouteChoice& choice, const EngineRun& run)
 {
     m_relay.begin_attempt(run.run_id);
     m_crashes.record_send();
-    m_gap = false;
+    m_has_gap = false;
     m_state.routing.with([&](Routing& routing) {
         // A mark may have come while blocks were fetched.
         const EngineEntry* engine = routing.engines.find(choice.engine);
@@ -198,8 +202,8 @@
 void
 CompletionRun::dispatch(const RouteChoice& choice, const std::string& staged_id)
 {
-    const EngineRun run = next_run();
-    begin_run(choice, run);
+    const EngineRun run = make_engine_run();
+    record_attempt(choice, run);
     const auto end = [&] {
         m_state.routing.with([&](Routing& routing) {
             routing.engines.ended(choice.engine, run.run_id);
@@ -208,14 +212,14 @@
     try {
         m_state.clients.engine(choice.engine)
             ->run(run, staged_id, [&](const EngineFrame& frame) {
-                return take(choice.engine, frame);
+                return handle_frame(choice.engine, frame);
             });
-        if (m_gap && !resume(choice.engine, run.run_id))
+        if (m_has_gap && !resume(choice.engine, run.run_id))
             throw Error(ErrorCode::StreamBroken,
                         "tokens of the stream are missing",
                         RunState::MayHaveRun);
     } catch (const Error& failure) {
-        if (!may_resume(failure) || !resume(choice.engine, run.run_id)) {
+        if (!can_resume(failure) || !resume(choice.engine, run.run_id)) {
             end();
             throw;
         }
@@ -230,7 +234,7 @@
 }
 
 bool
-CompletionRun::may_resume(const Error& failure) const
+CompletionRun::can_resume(const Error& failure) const
 {
     // An engine that was silent for so long would only be silent again.
     return !is_not_run(failure.run_state()) && !m_wrong_weights &&
@@ -240,17 +244,18 @@
 bool
 CompletionRun::resume(const std::string& address, const std::string& run_id)
 {
-    for (int i = 0; i < most_resumes && !m_caller_gone; ++i) {
+    for (int i = 0; i < max_resumes && !m_caller_gone; ++i) {
         // The first one goes out at once; a link that stays broken needs time.
         if (i > 0)
             std::this_thread::sleep_for(
-                jittered(resume_pause * (1 << (i - 1))));
-        m_gap = false;
+                with_jitter(resume_backoff * (1 << (i - 1))));
+        m_has_gap = false;
         ++m_state.metrics.resumes;
         try {
             m_state.clients.engine(address)->resume(
-                run_id, m_relay.next_index(),
-                [&](const EngineFrame& frame) { return take(address, frame); });
+                run_id, m_relay.next_index(), [&](const EngineFrame& frame) {
+                    return handle_frame(address, frame);
+                });
         } catch (const Error& failure) {
             spdlog::debug("resume at {}: {}", address, failure.what());
             // Nobody listens there: another engine serves it sooner.
@@ -266,15 +271,16 @@
 }
 
 FrameVerdict
-CompletionRun::take(const std::string& address, const EngineFrame& frame)
+CompletionRun::handle_frame(const std::string& address,
+                            const EngineFrame& frame)
 {
-    m_dispatched = true;
+    m_may_have_run = true;
     switch (m_relay.take(frame)) {
     case RelayAction::Drop:
         ++m_state.metrics.frames_dropped;
         return FrameVerdict::Continue;
     case RelayAction::Gap:
-        m_gap = true;
+        m_has_gap = true;
         return FrameVerdict::Stop;
     case RelayAction::WrongWeights:
         m_wrong_weights = true;
@@ -340,12 +346,12 @@
 }
 
 void
-CompletionRun::settle_failure(const std::string& address, const Error& failure)
+CompletionRun::handle_failure(const std::string& address, const Error& failure)
 {
-    m_avoid.insert(address);
+    m_failed_engines.insert(address);
     if (!is_not_run(failure.run_state())) {
-        m_dispatched = true;
-        note_if_ended(address);
+        m_may_have_run = true;
+        probe_for_end(address);
         // It may still run there, for nobody.
         cancel_current();
     }
@@ -357,11 +363,11 @@
         // A refusal counts as the engine's word that it leaves or swaps: it
         // gets nothing more until its next reports can tell, nor in the backoff
         // that it asked for.
-        const Micros backoff = failure.retry_after().value_or(leaving_mark);
+        const Micros backoff = failure.retry_after().value_or(min_leaving_time);
         if (failure.code() == ErrorCode::UpstreamRefused ||
             failure.code() == ErrorCode::WrongWeights)
-            routing.engines.mark_leaving(address,
-                                         now + std::max(leaving_mark, backoff));
+            routing.engines.mark_leaving(
+                address, now + std::max(min_leaving_time, backoff));
         else
             routing.engines.failed(address, now);
     });
@@ -370,7 +376,7 @@
 /// Throws where too many engines ended under this prompt: the next one would
 /// end as well.
 void
-CompletionRun::refuse_blocked()
+CompletionRun::reject_if_blocked()
 {
     if (m_crashes.blocked())
         throw Error(ErrorCode::RequestEndsUpstreams,
@@ -380,7 +386,7 @@
 /// Takes note that an engine broke the prompt off: it may have ended, which is
 /// looked at now, and a few times later.
 void
-CompletionRun::note_if_ended(const std::string& address)
+CompletionRun::probe_for_end(const std::string& address)
 {
     m_crashes.record_failure({address, 0, address}, true);
     if (look_at_port(address).fate == ProcessFate::Ended)
--- a/src/serve/completion_run.h
+++ b/src/serve/completion_run.h
@@ -63,18 +63,19 @@
 private:
     RouteChoice route();
     void attempt(const RouteChoice& choice);
-    EngineRun next_run() const;
+    EngineRun make_engine_run() const;
     /// Notes the attempt everywhere before its first byte goes out.
-    void begin_run(const RouteChoice& choice, const EngineRun& run);
+    void record_attempt(const RouteChoice& choice, const EngineRun& run);
     void dispatch(const RouteChoice& choice, const std::string& staged_id);
-    bool may_resume(const Error& failure) const;
+    bool can_resume(const Error& failure) const;
     bool resume(const std::string& address, const std::string& run_id);
-    FrameVerdict take(const std::string& address, const EngineFrame& frame);
+    FrameVerdict handle_frame(const std::string& address,
+                              const EngineFrame& frame);
     void relay_text(const std::string& text);
     bool may_try_again(const Error& failure);
-    void settle_failure(const std::string& address, const Error& failure);
-    void refuse_blocked();
-    void note_if_ended(const std::string& address);
+    void handle_failure(const std::string& address, const Error& failure);
+    void reject_if_blocked();
+    void probe_for_end(const std::string& address);
     void cancel_current();
 
     InstanceState& m_state;
@@ -84,11 +85,11 @@
     Relay m_relay;
     RequestCrashes m_crashes;
     AnswerTimes m_times;
-    KeptBlocks m_kept;
-    std::set<std::string> m_avoid;
+    KeptBlocks m_kept_blocks;
+    std::set<std::string> m_failed_engines;
     std::uint32_t m_attempts = 0;
-    bool m_dispatched = false; ///< Some attempt may have run.
-    bool m_gap = false;        ///< The last frame left a gap.
+    bool m_may_have_run = false; ///< Some attempt may have run.
+    bool m_has_gap = false;      ///< The last frame left a gap.
     bool m_wrong_weights = false;
     std::atomic<bool> m_caller_gone{false};
     std::mutex m_current_mutex;
--- a/src/serve/duty.cpp
+++ b/src/serve/duty.cpp
@@ -19,7 +19,7 @@
 
 Duty::Duty(std::string name, Round round)
     : m_name(std::move(name)), m_round(std::move(round)),
-      m_thread([this] { work(); })
+      m_thread([this] { run_rounds(); })
 {
 }
 
@@ -44,7 +44,7 @@
 }
 
 void
-Duty::work()
+Duty::run_rounds()
 {
     for (;;) {
         Micros wait = failure_delay;
--- a/src/serve/duty.h
+++ b/src/serve/duty.h
@@ -33,7 +33,7 @@
     void wake();
 
 private:
-    void work();
+    void run_rounds();
 
     const std::string m_name;
     const Round m_round;
--- a/src/serve/export_duty.cpp
+++ b/src/serve/export_duty.cpp
@@ -16,12 +16,12 @@
 namespace
 {
 
-constexpr std::size_t ring_capacity = 256;
+constexpr std::size_t queue_capacity = 256;
 
 /// Gives up the reservations of the blocks from `first` on.
 void
-abandon_from(Store& store, const std::vector<ExportBlock>& blocks,
-             std::size_t first)
+abandon_reservations(Store& store, const std::vector<ExportBlock>& blocks,
+                     std::size_t first)
 {
     for (std::size_t i = first; i < blocks.size(); ++i) {
         try {
@@ -36,13 +36,14 @@
 } // namespace
 
 ExportDuty::ExportDuty(InstanceState& state)
-    : m_state(state), m_ring(ring_capacity), m_thread([this] { work(); })
+    : m_state(state), m_queue(queue_capacity),
+      m_thread([this] { process_queue(); })
 {
 }
 
 ExportDuty::~ExportDuty()
 {
-    m_ring.close();
+    m_queue.close();
     m_thread.join();
 }
 
@@ -50,15 +51,15 @@
 ExportDuty::add(ExportJob job)
 {
     if (!job.keys.empty())
-        m_ring.push(std::move(job));
+        m_queue.push(std::move(job));
 }
 
 void
-ExportDuty::work()
+ExportDuty::process_queue()
 {
-    while (const auto job = m_ring.pop()) {
+    while (const auto job = m_queue.pop()) {
         try {
-            keep(*job);
+            export_job(*job);
         } catch (const Error& failure) {
             ++m_state.metrics.exports_failed;
             spdlog::debug("export: {}", failure.what());
@@ -67,7 +68,7 @@
 }
 
 void
-ExportDuty::keep(const ExportJob& job)
+ExportDuty::export_job(const ExportJob& job)
 {
     const auto stores =
         m_state.directory.with([&](UpstreamDirectory& directory) {
@@ -75,11 +76,12 @@
                                         monotonic_now());
         });
     if (!stores.empty())
-        keep_in(stores.front(), job);
+        export_to_store(stores.front(), job);
 }
 
 void
-ExportDuty::keep_in(const std::string& store_address, const ExportJob& job)
+ExportDuty::export_to_store(const std::string& store_address,
+                            const ExportJob& job)
 {
     const auto store = m_state.clients.store(store_address);
     const auto engine = m_state.clients.engine(job.engine);
@@ -104,10 +106,10 @@
             store->seal(blocks[sealed].key, blocks[sealed].handle,
                         contents[sealed]);
     } catch (const Error&) {
-        abandon_from(*store, blocks, sealed);
+        abandon_reservations(*store, blocks, sealed);
         throw;
     }
-    abandon_from(*store, blocks, sealed);
+    abandon_reservations(*store, blocks, sealed);
     m_state.metrics.blocks_exported += sealed;
 }
 
--- a/src/serve/export_duty.h
+++ b/src/serve/export_duty.h
@@ -36,12 +36,13 @@
     void add(ExportJob job);
 
 private:
-    void work();
-    void keep(const ExportJob& job);
-    void keep_in(const std::string& store_address, const ExportJob& job);
+    void process_queue();
+    void export_job(const ExportJob& job);
+    void export_to_store(const std::string& store_address,
+                         const ExportJob& job);
 
     InstanceState& m_state;
-    BoundedRing<ExportJob> m_ring;
+    BoundedRing<ExportJob> m_queue;
     std::thread m_thread;
 };
 
--- a/src/serve/kept_fetch.cpp
+++ b/src/serve/kept_fetch.cpp
@@ -22,14 +22,15 @@
 
 /// A fetch may take this many times as long as it was expected to, and no
 /// less than the floor; then recomputing overtakes it.
-constexpr int patience = 3;
-constexpr Micros least_patience = std::chrono::milliseconds(250);
+constexpr int max_delay_factor = 3;
+constexpr Micros min_fetch_timeout = std::chrono::milliseconds(250);
 
 /// Notes a fetch in the link table for as long as it is under way.
-class LinkUse
+class ActiveTransfer
 {
 public:
-    LinkUse(InstanceState& state, const std::string& store, std::uint64_t bytes)
+    ActiveTransfer(InstanceState& state, const std::string& store,
+                   std::uint64_t bytes)
         : m_state(state), m_store(store), m_bytes(bytes),
           m_began(monotonic_now())
     {
@@ -39,19 +40,19 @@
         });
     }
 
-    ~LinkUse()
+    ~ActiveTransfer()
     {
         m_state.routing.with([&](Routing& routing) {
             routing.links.end(m_store, m_bytes, monotonic_now() - m_began,
-                              m_whole);
+                              m_complete);
         });
     }
 
-    LinkUse(const LinkUse&) = delete;
-    LinkUse& operator=(const LinkUse&) = delete;
+    ActiveTransfer(const ActiveTransfer&) = delete;
+    ActiveTransfer& operator=(const ActiveTransfer&) = delete;
 
     Micros expected() const { return m_expected; }
-    void whole() { m_whole = true; }
+    void set_complete() { m_complete = true; }
 
 private:
     InstanceState& m_state;
@@ -59,7 +60,7 @@
     const std::uint64_t m_bytes;
     const TimePoint m_began;
     Micros m_expected{0};
-    bool m_whole = false;
+    bool m_complete = false;
 };
 
 ImportOrder
@@ -81,7 +82,7 @@
 } // namespace
 
 KeptBlocks
-find_kept(InstanceState& state, const CompletionCall& call)
+lookup_kept_blocks(InstanceState& state, const CompletionCall& call)
 {
     KeptBlocks kept;
     if (call.keys.empty())
@@ -109,8 +110,8 @@
 }
 
 std::string
-fetch_kept(InstanceState& state, const CompletionCall& call,
-           const KeptBlocks& kept, const RouteChoice& choice)
+fetch_kept_blocks(InstanceState& state, const CompletionCall& call,
+                  const KeptBlocks& kept, const RouteChoice& choice)
 {
     if (choice.fetch_end <= choice.cached_blocks)
         return {};
@@ -119,8 +120,9 @@
     const auto engine = state.clients.engine(choice.engine);
     ++state.metrics.fetches;
     try {
-        LinkUse use(state, kept.store, bytes);
-        order.give_up = std::max(use.expected() * patience, least_patience);
+        ActiveTransfer transfer(state, kept.store, bytes);
+        order.give_up =
+            std::max(transfer.expected() * max_delay_factor, min_fetch_timeout);
         const ImportResult read = engine->import(order);
         const auto sealed =
             state.clients.store(kept.store)->verify(order.blocks);
@@ -129,7 +131,7 @@
             engine->discard(read.staged_id);
             return {};
         }
-        use.whole();
+        transfer.set_complete();
         state.metrics.fetched_bytes += bytes;
         return read.staged_id;
     } catch (const Error& failure) {
--- a/src/serve/kept_fetch.h
+++ b/src/serve/kept_fetch.h
@@ -23,12 +23,13 @@
 
 /// Asks the preferred store which blocks of the prompt it has. A store that
 /// can't be reached counts as empty: the prompt is then recomputed.
-KeptBlocks find_kept(InstanceState& state, const CompletionCall& call);
+KeptBlocks lookup_kept_blocks(InstanceState& state, const CompletionCall& call);
 
 /// Lets `engine` fetch the kept blocks that `choice` names. Returns the id of
 /// the staged import, or an empty text where it is to be recomputed: the fetch
 /// failed, fell behind, or the check after the read found it unsound.
-std::string fetch_kept(InstanceState& state, const CompletionCall& call,
-                       const KeptBlocks& kept, const RouteChoice& choice);
+std::string fetch_kept_blocks(InstanceState& state, const CompletionCall& call,
+                              const KeptBlocks& kept,
+                              const RouteChoice& choice);
 
 } // namespace crosslink
--- a/src/serve/plain_calls.cpp
+++ b/src/serve/plain_calls.cpp
@@ -19,7 +19,7 @@
 namespace
 {
 
-constexpr Micros come_back = std::chrono::seconds(1);
+constexpr Micros default_retry_delay = std::chrono::seconds(1);
 
 } // namespace
 
@@ -50,7 +50,8 @@
 /// Throws where the service refused the call, and keeps the backoff that it
 /// asked for.
 void
-PlainCalls::check_refusal(const PlainAnswer& answer, const std::string& address)
+PlainCalls::throw_if_refused(const PlainAnswer& answer,
+                             const std::string& address)
 {
     if (!answer.refused_before_run)
         return;
@@ -58,19 +59,19 @@
         directory.backs_off(address, monotonic_now() + answer.backoff);
     });
     throw Error(ErrorCode::UpstreamRefused, address + " refused the call",
-                RunState::RefusedBeforeRun, come_back);
+                RunState::RefusedBeforeRun, default_retry_delay);
 }
 
 /// Returns when to come back to a service of which no instance takes work.
 Micros
-PlainCalls::time_to_chance(const std::string& service)
+PlainCalls::retry_delay_for(const std::string& service)
 {
     const TimePoint now = monotonic_now();
     const auto free = m_state.directory.with([&](UpstreamDirectory& directory) {
         return directory.plain_free_at(service);
     });
     if (!free)
-        return come_back;
+        return default_retry_delay;
     return jittered_retry_delay(std::max(min_retry_delay, *free - now),
                                 random_bits());
 }
@@ -87,7 +88,7 @@
     if (addresses.empty())
         throw Error(ErrorCode::NoUpstream,
                     "no instance of this service takes work now",
-                    RunState::NotDispatched, time_to_chance(service));
+                    RunState::NotDispatched, retry_delay_for(service));
     m_state.retry_budgets.with(
         [&](RetryBudgets& budgets) { budgets[account].first_try(); });
     bool may_have_run = false;
@@ -95,7 +96,7 @@
         const std::string& address = addresses[i];
         try {
             PlainAnswer answer = m_state.clients.plain(address)->call(call);
-            check_refusal(answer, address);
+            throw_if_refused(answer, address);
             m_state.directory.with([&](UpstreamDirectory& directory) {
                 directory.succeeded(address);
             });
--- a/src/serve/plain_calls.h
+++ b/src/serve/plain_calls.h
@@ -27,8 +27,9 @@
                     const PlainCall& call, bool repeatable);
 
 private:
-    void check_refusal(const PlainAnswer& answer, const std::string& address);
-    Micros time_to_chance(const std::string& service);
+    void throw_if_refused(const PlainAnswer& answer,
+                          const std::string& address);
+    Micros retry_delay_for(const std::string& service);
 
     InstanceState& m_state;
 };
--- a/src/serve/request_path.cpp
+++ b/src/serve/request_path.cpp
@@ -18,10 +18,10 @@
 namespace
 {
 
-constexpr Micros come_back = std::chrono::seconds(1);
-constexpr int success = 200;
+constexpr Micros retry_delay = std::chrono::seconds(1);
+constexpr int http_ok = 200;
 constexpr std::string_view completions_class = "completions";
-constexpr const char* json_type = "application/json";
+constexpr const char* json_content_type = "application/json";
 constexpr const char* done_event = "[DONE]";
 
 Digest
@@ -42,14 +42,14 @@
 }
 
 std::string
-path_only(const std::string& path)
+path_without_query(const std::string& path)
 {
     return path.substr(0, path.find('?'));
 }
 
 /// Who a returning caller is: the one it names, else its whole account.
 const std::string&
-caller_of(const CompletionCall& call, const ClientAccount& account)
+caller_id(const CompletionCall& call, const ClientAccount& account)
 {
     return call.caller.empty() ? account.name : call.caller;
 }
@@ -70,10 +70,10 @@
     const ConfigurationPtr configuration = m_state.configuration.current();
     if (!m_state.ready || !configuration)
         throw Error(ErrorCode::NotReady, "this instance does not serve now",
-                    RunState::NotDispatched, come_back);
+                    RunState::NotDispatched, retry_delay);
     const ClientAccount& account =
         authenticate(*configuration, request.authorization);
-    const std::string path = path_only(request.path);
+    const std::string path = path_without_query(request.path);
     if (path == "/v1/models" && request.method == "GET")
         serve_models(account, reply);
     else if (path == "/v1/completions" && request.method == "POST")
@@ -101,7 +101,7 @@
         for (const std::string& adapter : grant.adapters)
             add(grant.model + ":" + adapter);
     }
-    reply.answer({success, json_type, json_text(body)}, {});
+    reply.answer({http_ok, json_content_type, json_text(body)}, {});
 }
 
 void
@@ -111,8 +111,8 @@
 {
     CompletionCall call = read_completion(account, request.body, chat);
     const TrafficSplit* split = account.policy->split_for(completions_class);
-    if (split && !goes_to_new_fleet(*split, caller_of(call, account))) {
-        serve_by_old(*split, account, request, reply);
+    if (split && !goes_to_new_fleet(*split, caller_id(call, account))) {
+        serve_from_old_fleet(*split, account, request, reply);
         return;
     }
     call.request_id = request.id;
@@ -122,7 +122,7 @@
         m_state.settings.fleet_secret,
         {account.name, call.model, call.version, call.adapter}, call.prompt);
     call.prompt_tokens = token_estimate(call.prompt);
-    const auto place =
+    const auto slot =
         m_gate.enter(account, call.prompt_tokens + call.max_tokens);
     if (call.repeatable) {
         const PlainAnswer answer = run_completion(call, request, reply);
@@ -130,8 +130,9 @@
             reply.answer(answer, {});
         return;
     }
-    const AtMostOnceCall once{&account, path_only(request.path),
-                              request.idempotency_key, fingerprint_of(request)};
+    const AtMostOnceCall at_most_once_call{
+        &account, path_without_query(request.path), request.idempotency_key,
+        fingerprint_of(request)};
     const AtMostOnceRunner::Result result = m_at_most_once.run(
         once, [&] { return run_completion(call, request, reply); });
     if (!reply.streaming())
@@ -143,7 +144,7 @@
 RequestPath::run_completion(const CompletionCall& call,
                             const CallerRequest& request, CallerReply& reply)
 {
-    const CompletionAnswer shape(call);
+    const CompletionAnswer formatter(call);
     CompletionRun run(m_state, m_duties, call, [&](std::string_view text) {
         if (!call.stream)
             return true;
@@ -152,7 +153,7 @@
                                             request.received_at);
             reply.begin_stream();
         }
-        const bool sent = reply.send_event(shape.token_event(text));
+        const bool sent = reply.send_event(formatter.token_event(text));
         // A claimed answer is kept for the caller's retry, so the run
         // goes on when the caller went away.
         return sent || !call.repeatable;
@@ -160,10 +161,10 @@
     try {
         run.run(call.repeatable ? reply.socket() : -1);
         PlainAnswer answer = relay_completion(run, call, reply);
-        settle(run, call, request);
+        record_outcome(run, call, request);
         return answer;
     } catch (const Error& failure) {
-        settle(run, call, request);
+        record_outcome(run, call, request);
         // The answer has begun: it ends with a typed error, never silently.
         if (reply.streaming())
             reply.send_event(error_event(failure));
@@ -175,7 +176,7 @@
 RequestPath::relay_completion(CompletionRun& run, const CompletionCall& call,
                               CallerReply& reply)
 {
-    const CompletionAnswer shape(call);
+    const CompletionAnswer formatter(call);
     const Relay& relay = run.relay();
     if (!relay.finished()) {
         ++m_state.metrics.callers_gone;
@@ -183,18 +184,19 @@
                     RunState::MayHaveRun);
     }
     if (reply.streaming()) {
-        reply.send_event(shape.last_event(
+        reply.send_event(formatter.last_event(
             relay.prompt_tokens(), relay.cached_tokens(), relay.next_index()));
         reply.send_event(done_event);
     }
-    return {success, json_type,
-            shape.whole(relay.text(), relay.prompt_tokens(),
-                        relay.cached_tokens(), relay.next_index())};
+    return {http_ok, json_content_type,
+            formatter.whole(relay.text(), relay.prompt_tokens(),
+                            relay.cached_tokens(), relay.next_index())};
 }
 
 void
-RequestPath::settle(const CompletionRun& run, const CompletionCall& call,
-                    const CallerRequest& request)
+RequestPath::record_outcome(const CompletionRun& run,
+                            const CompletionCall& call,
+                            const CallerRequest& request)
 {
     const Relay& relay = run.relay();
     if (run.caller_gone() && !relay.finished())
@@ -229,26 +231,28 @@
 RequestPath::serve_plain(const ClientAccount& account,
                          const CallerRequest& request, CallerReply& reply)
 {
-    const std::string path = path_only(request.path);
+    const std::string path = path_without_query(request.path);
     const PlainServiceGrant* grant = account.policy->service_for(path);
     if (!grant)
         throw Error(ErrorCode::UnknownPath,
                     "this client account has no service at this path");
-    const bool marked = is_not_repeatable(*grant, request.method, path);
+    const bool marked_not_repeatable =
+        is_not_repeatable(*grant, request.method, path);
     std::string service = grant->service;
     const TrafficSplit* split = account.policy->split_for(service);
     if (split && !goes_to_new_fleet(*split, account.name))
         service = split->old_service;
-    const auto place = m_gate.enter(account, token_estimate(request.body) + 1);
-    call_plain(service, account, request, reply, marked);
+    const auto slot = m_gate.enter(account, token_estimate(request.body) + 1);
+    call_plain(service, account, request, reply, marked_not_repeatable);
 }
 
 void
-RequestPath::serve_by_old(const TrafficSplit& split,
-                          const ClientAccount& account,
-                          const CallerRequest& request, CallerReply& reply)
+RequestPath::serve_from_old_fleet(const TrafficSplit& split,
+                                  const ClientAccount& account,
+                                  const CallerRequest& request,
+                                  CallerReply& reply)
 {
-    const auto place = m_gate.enter(account, token_estimate(request.body) + 1);
+    const auto slot = m_gate.enter(account, token_estimate(request.body) + 1);
     call_plain(split.old_service, account, request, reply, false);
 }
 
@@ -256,25 +260,26 @@
 RequestPath::call_plain(const std::string& service,
                         const ClientAccount& account,
                         const CallerRequest& request, CallerReply& reply,
-                        bool marked)
+                        bool marked_not_repeatable)
 {
     const PlainCall call = plain_call_of(request, account.name);
-    const bool once = !request.idempotency_key.empty();
-    const bool repeatable =
-        !marked && !once && is_idempotent_method(request.method);
+    const bool at_most_once = !request.idempotency_key.empty();
+    const bool repeatable = !marked_not_repeatable && !at_most_once &&
+                            is_idempotent_method(request.method);
     const auto dispatch = [&] {
         return m_plain.run(service, account.name, call, repeatable);
     };
-    if (!once) {
+    if (!at_most_once) {
         reply.answer(dispatch(), {});
         return;
     }
     // The claim is on the caller's service name, not on where it runs, so that
     // a change of the split does not open the way for a second run.
-    const AtMostOnceCall named{&account, path_only(request.path),
-                               request.idempotency_key,
-                               fingerprint_of(request)};
-    const AtMostOnceRunner::Result result = m_at_most_once.run(named, dispatch);
+    const AtMostOnceCall at_most_once_call{
+        &account, path_without_query(request.path), request.idempotency_key,
+        fingerprint_of(request)};
+    const AtMostOnceRunner::Result result =
+        m_at_most_once.run(at_most_once_call, dispatch);
     reply.answer(result.answer, {{"Idempotency-Replayed",
                                   result.replayed ? "true" : "false"}});
 }
--- a/src/serve/request_path.h
+++ b/src/serve/request_path.h
@@ -39,19 +39,20 @@
                           bool chat);
     void serve_plain(const ClientAccount& account, const CallerRequest& request,
                      CallerReply& reply);
-    void serve_by_old(const TrafficSplit& split, const ClientAccount& account,
-                      const CallerRequest& request, CallerReply& reply);
+    void serve_from_old_fleet(const TrafficSplit& split,
+                              const ClientAccount& account,
+                              const CallerRequest& request, CallerReply& reply);
     /// `marked`: the template says that this call may not be repeated.
     void call_plain(const std::string& service, const ClientAccount& account,
                     const CallerRequest& request, CallerReply& reply,
-                    bool marked);
+                    bool marked_not_repeatable);
     PlainAnswer run_completion(const CompletionCall& call,
                                const CallerRequest& request,
                                CallerReply& reply);
     PlainAnswer relay_completion(CompletionRun& run, const CompletionCall& call,
                                  CallerReply& reply);
-    void settle(const CompletionRun& run, const CompletionCall& call,
-                const CallerRequest& request);
+    void record_outcome(const CompletionRun& run, const CompletionCall& call,
+                        const CallerRequest& request);
 
     InstanceState& m_state;
     AtMostOnceRunner m_at_most_once;
