--- a/src/serve/request_path.cpp
+++ b/src/serve/request_path.cpp
@@ -133,8 +133,10 @@
     const AtMostOnceCall at_most_once_call{
         &account, path_without_query(request.path), request.idempotency_key,
         fingerprint_of(request)};
-    const AtMostOnceRunner::Result result = m_at_most_once.run(
-        once, [&] { return run_completion(call, request, reply); });
+    const AtMostOnceRunner::Result result =
+        m_at_most_once.run(at_most_once_call, [&] {
+            return run_completion(call, request, reply);
+        });
     if (!reply.streaming())
         reply.answer(result.answer, {{"Idempotency-Replayed",
                                       result.replayed ? "true" : "false"}});
