--- a/src/serve/admission_gate.h
+++ b/src/serve/admission_gate.h
@@ -16,14 +16,13 @@
 namespace crosslink
 {
 
-/// Holds requests until the admission lets them through. Safe for many
-/// threads.
+/// Blocks requests until the admission control admits them. Thread-safe.
 class AdmissionGate
 {
 public:
     explicit AdmissionGate(InstanceState& state);
 
-    /// A place that was given; it is free again at the end of this object.
+    /// An admitted request's slot; the destructor releases it.
     class Slot
     {
     public:
@@ -40,15 +39,16 @@
         const std::uint64_t m_ticket;
     };
 
-    /// Returns once the request may go on. Throws Error with RateLimited,
-    /// ConcurrencyLimited, QueueFull, or DeadlineUnreachable after the longest
-    /// wait.
+    /// Blocks until the request is admitted. `tokens` is the estimate of the
+    /// request's tokens. Throws Error with RateLimited, ConcurrencyLimited or
+    /// QueueFull, or DeadlineUnreachable after the longest wait.
     std::unique_ptr<Slot> enter(const ClientAccount& account,
                                 std::uint64_t tokens);
-    /// Returns the accounts that have requests open.
+    /// Returns the use of the accounts that have open requests.
     std::vector<AccountUse> in_use();
-    /// Returns the number of requests that run and that wait.
+    /// Returns the number of admitted requests.
     std::size_t running();
+    /// Returns the number of requests that wait to be admitted.
     std::size_t waiting();
 
 private:
@@ -59,7 +59,8 @@
     std::mutex m_mutex;
     std::condition_variable m_changed;
     Admission m_admission;
-    std::set<std::uint64_t> m_admitted; ///< Not picked up yet.
+    std::set<std::uint64_t>
+        m_admitted; ///< Tickets whose enter() has not returned yet.
 };
 
 } // namespace crosslink
--- a/src/serve/at_most_once_runner.cpp
+++ b/src/serve/at_most_once_runner.cpp
@@ -17,8 +17,8 @@
 namespace
 {
 
-/// A key may be made by a clock that is ahead by this much; one that is
-/// further ahead would be remembered for too long.
+/// How far the time in a key may be ahead of this clock, since clients' clocks
+/// differ. A key that is further ahead would be remembered for too long.
 constexpr UnixMillis max_clock_skew_ms = 300'000;
 constexpr Micros retry_delay = std::chrono::seconds(1);
 
@@ -112,7 +112,8 @@
         try {
             held = m_state.clients.peer(holder)->answer_of(claim.key);
         } catch (const Error&) {
-            // The holder is gone or cut off: what became of it is not known.
+            // The holder has stopped or can't be reached, so the outcome of
+            // the earlier request is not known.
             held.state = HeldAnswer::State::Unknown;
         }
     }
--- a/src/serve/at_most_once_runner.h
+++ b/src/serve/at_most_once_runner.h
@@ -18,7 +18,7 @@
 namespace crosslink
 {
 
-/// What an unrepeatable call is known by.
+/// Identifies a call that may run at most once.
 struct AtMostOnceCall {
     const ClientAccount* account = nullptr;
     std::string service; ///< Plain service or model.
@@ -26,22 +26,25 @@
     Digest fingerprint; ///< SHA-256 of method, path and body.
 };
 
-/// Runs calls that may run at most once: the claim is committed before the
-/// dispatch, and a retry gets the kept answer or a typed error, never a rerun.
+/// Runs calls that may run at most once. The claim on the idempotency key is
+/// committed before the dispatch; a retry with the same key gets the cached
+/// answer or a typed error, and is never dispatched again.
 class AtMostOnceRunner
 {
 public:
-    /// Dispatches the call, and returns its whole answer.
+    /// Dispatches the call and returns its complete answer.
     using Dispatch = std::function<PlainAnswer()>;
 
     AtMostOnceRunner(InstanceState& state, ClaimHandler& claim_handler);
 
-    /// Returns the answer, and whether it is a kept one. Throws Error; those
-    /// from `dispatch` pass through after the claim was settled.
     struct Result {
         PlainAnswer answer;
-        bool replayed = false;
+        bool replayed = false; ///< The answer is the cached one.
     };
+    /// Runs `call`, or returns the cached answer of an earlier run. Throws
+    /// Error. Where `dispatch` throws before the call may have run, the claim
+    /// is released and the error is thrown again; where the call may have run,
+    /// the claim stays and ClaimOutcomeUnknown is thrown instead.
     Result run(const AtMostOnceCall& call, const Dispatch& dispatch);
 
 private:
--- a/src/serve/canceler.h
+++ b/src/serve/canceler.h
@@ -13,14 +13,14 @@
 namespace crosslink
 {
 
-/// A run that nobody waits for any more.
+/// Names a run to cancel because its caller no longer waits for it.
 struct CancelRequest {
     std::string engine; ///< Address.
     std::string run_id;
 };
 
-/// Ends runs at their engines, on a thread of its own, so that a slow engine
-/// holds up nobody.
+/// Cancels runs at their engines, on a thread of its own, so that a slow engine
+/// delays no request.
 class Canceler
 {
 public:
--- a/src/serve/claim_handler.cpp
+++ b/src/serve/claim_handler.cpp
@@ -20,12 +20,12 @@
 {
 
 constexpr std::size_t queue_capacity = 4096;
-/// Writes a second that all claims of the fleet may take of the platform's
-/// hundred; the rest is for operators, who go first.
+/// Writes per second that the claims of the whole fleet may use. The platform
+/// allows a hundred; the rest is for operators, who have precedence.
 constexpr double fleet_writes_per_second = 60;
 constexpr double writes_per_slice = fleet_writes_per_second / claim_slices;
 constexpr double write_burst = 4;
-/// How long the committing thread sleeps where nothing waits.
+/// How long the committing thread waits for claims where none are pending.
 constexpr Micros idle_wait = std::chrono::seconds(1);
 constexpr Micros max_wait = std::chrono::seconds(3);
 constexpr Micros retry_delay = std::chrono::seconds(1);
@@ -75,9 +75,9 @@
                 ->commit_claims(slice, one)
                 .front();
         } catch (const Error& failure) {
-            // The preferred instance only makes it cheap. Asked again
-            // here, under the same id, the claim is decided by the platform
-            // alone.
+            // The preferred instance only makes the decision cheaper. Where it
+            // fails, the claim is committed here under the same id, and the
+            // platform alone decides it.
             spdlog::info("claim slice={} peer={} failed: {}", slice, address,
                          failure.what());
         }
@@ -116,7 +116,9 @@
     pending_claim->claim = claim;
     pending_claim->release = true;
     if (!m_queue.push(pending_claim))
-        spdlog::warn("claim={} could not be given back", claim.id);
+        spdlog::warn(
+            "claim={} could not be released: the queue is full or closed",
+            claim.id);
 }
 
 ClaimVerdict
@@ -174,7 +176,7 @@
             at = groups.erase(at);
             continue;
         }
-        // Its turn comes later; the other slices need not wait for it.
+        // The write limit of this slice is used up; the others go on.
         wait =
             std::min(wait, bucket.wait_for(1, writes_per_slice, write_burst) +
                                Micros(1));
@@ -214,8 +216,8 @@
     try {
         const auto verdicts =
             m_committer.commit(slice, batch, releases, unix_now());
-        // A claim whose asker gave up is not given back here: only its holder
-        // knows that it is not being dispatched, and gives it back itself.
+        // A claim whose requester timed out is not released here: only its
+        // holder knows that the call is not dispatched, and releases it.
         for (std::size_t i = 0; i < pending.size(); ++i)
             answer(*pending[i], verdicts[i], {});
     } catch (const Error& failure) {
--- a/src/serve/claim_handler.h
+++ b/src/serve/claim_handler.h
@@ -23,9 +23,9 @@
 namespace crosslink
 {
 
-/// Decides claims for the requests of this instance, and for peers that take
-/// it for the preferred one of a slice. One thread commits; it gathers
-/// what waits into one write per slice.
+/// Decides claims for the requests of this instance, and for peers that regard
+/// this instance as the preferred one of a slice. One thread commits; it
+/// batches the pending claims of a slice into one write.
 class ClaimHandler
 {
 public:
@@ -34,30 +34,33 @@
     ClaimHandler(const ClaimHandler&) = delete;
     ClaimHandler& operator=(const ClaimHandler&) = delete;
 
-    /// Returns the verdict on `claim`, asking the preferred instance
-    /// of its slice first and committing it here where that one can't be
-    /// reached. Throws Error(ClaimUnavailable): the claim must then not be
-    /// dispatched, and it is given back in case it was committed all the same.
+    /// Returns the verdict on `claim`. Asks the preferred instance of the
+    /// claim's slice first, and commits the claim in this process where that
+    /// instance can't be reached. Throws Error(ClaimUnavailable): the call must
+    /// then not be dispatched; the claim is released in case it was committed
+    /// nevertheless.
     ClaimVerdict decide(const Claim& claim);
-    /// Commits claims of one slice here.
+    /// Commits claims of one slice in this process. Throws Error with
+    /// BadRequest for a claim of another slice, or ClaimUnavailable.
     std::vector<ClaimVerdict> commit_locally(std::uint32_t slice,
                                              std::span<const Claim> claims);
-    /// Gives a claim back that was never dispatched and never will be.
+    /// Releases a claim whose call was not dispatched and never will be. Does
+    /// not wait for the release to be committed.
     void release(const Claim& claim);
-    /// Returns the number of claims that this process knows.
+    /// Returns the number of claims that this process holds in memory.
     std::size_t held() const { return m_held; }
 
 private:
-    /// One claim that waits for the committing thread.
+    /// One claim or release that is queued for the committing thread.
     struct PendingClaim {
         Claim claim;
         bool release = false;
         std::mutex mutex;
         std::condition_variable changed;
         bool done = false;
-        bool abandoned = false; ///< Nobody waits for it any more.
+        bool abandoned = false; ///< The requester timed out.
         ClaimVerdict verdict;
-        std::string failure; ///< Not empty: it could not be decided.
+        std::string failure; ///< Why it was not decided; else empty.
     };
     using PendingClaimPtr = std::shared_ptr<PendingClaim>;
 
@@ -66,7 +69,8 @@
     using Groups = std::map<std::uint32_t, std::vector<PendingClaimPtr>>;
 
     void process_queue();
-    /// Commits the slices whose turn it is; returns when the next one's is.
+    /// Commits the slices that their write limits allow now. Returns how long
+    /// to wait until the next slice may be committed.
     Micros commit_ready(Groups& groups);
     void commit(std::uint32_t slice, const std::vector<PendingClaimPtr>& group);
     void defer_releases(std::uint32_t slice, std::vector<std::string> releases);
@@ -77,8 +81,8 @@
     ClaimCommitter m_committer;
     BoundedRing<PendingClaimPtr> m_queue;
     std::array<TokenBucket, claim_slices> m_write_limits;
-    /// Ids to give back once the platform can be reached; of the committing
-    /// thread alone.
+    /// Ids to release once the platform can be reached, by slice. Used by the
+    /// committing thread alone.
     std::array<std::vector<std::string>, claim_slices> m_deferred_releases;
     std::atomic<std::size_t> m_held{0};
     std::thread m_thread;
--- a/src/serve/completion_call.h
+++ b/src/serve/completion_call.h
@@ -16,11 +16,11 @@
 namespace crosslink
 {
 
-/// A completion that a caller asked for, checked against its account.
+/// A completion request, checked against the caller's account.
 struct CompletionCall {
     const ClientAccount* account = nullptr;
     std::string request_id;
-    TimePoint received_at; ///< When the caller's request came in.
+    TimePoint received_at; ///< When the caller's request arrived.
     std::string model;
     std::string version; ///< Weight version from the template.
     std::string adapter;
@@ -28,9 +28,9 @@
     std::uint32_t max_tokens = 16;
     bool stream = false;
     bool chat = false;
-    bool repeatable = true;   ///< False: it must run at most once.
-    std::string caller;       ///< Who asks, for the traffic split.
-    std::vector<Digest> keys; ///< Whole blocks of the prompt.
+    bool repeatable = true;   ///< False: the call must run at most once.
+    std::string caller;       ///< User of the account, for the traffic split.
+    std::vector<Digest> keys; ///< Keys of the full blocks of the prompt.
     std::uint64_t prompt_tokens = 0;
 };
 
@@ -39,20 +39,20 @@
 CompletionCall read_completion(const ClientAccount& account,
                                std::string_view body, bool chat);
 
-/// The JSON of an answer, in the shape of the usual completions interface.
+/// Builds the JSON of an answer in the format of the usual completions API.
 class CompletionAnswer
 {
 public:
-    /// `call` must outlive it.
+    /// `call` must outlive this object.
     explicit CompletionAnswer(const CompletionCall& call);
 
     /// Returns the event of one token.
     std::string token_event(std::string_view text) const;
-    /// Returns the last event, with the usage.
+    /// Returns the last event, with the token usage.
     std::string last_event(std::uint32_t prompt_tokens,
                            std::uint32_t cached_tokens,
                            std::uint32_t tokens) const;
-    /// Returns the body of a whole answer.
+    /// Returns the body of an answer that is not streamed.
     std::string whole(const std::string& text, std::uint32_t prompt_tokens,
                       std::uint32_t cached_tokens, std::uint32_t tokens) const;
 
--- a/src/serve/completion_run.cpp
+++ b/src/serve/completion_run.cpp
@@ -22,13 +22,16 @@
 namespace
 {
 
+/// How long at least an engine gets no work after it refused some, or answered
+/// with other weights.
 constexpr Micros min_leaving_time = std::chrono::seconds(5);
 constexpr Micros retry_delay = std::chrono::seconds(1);
 constexpr int max_resumes = 3;
-/// Pause before the second resume; it doubles, and half of it is jitter.
+/// Delay before the second resume. It doubles with each further one; up to half
+/// of it is taken off at random.
 constexpr Micros resume_backoff = std::chrono::milliseconds(100);
 
-/// Returns what is the same for all attempts of one prompt; see
+/// Returns the digest that all requests with this prompt share; see
 /// request_digest().
 std::string
 digest_of(const CompletionCall& call)
@@ -38,7 +41,7 @@
     return digest_of_parts(parts);
 }
 
-/// Returns between half of `span` and all of it.
+/// Returns a random time between half of `span` and `span`.
 Micros
 with_jitter(Micros span)
 {
@@ -46,7 +49,7 @@
     return span / 2 + Micros(random_bits() % (half + 1));
 }
 
-/// Watches the caller for as long as it lives.
+/// Watches the caller's connection during the lifetime of the object.
 class WatchedCaller
 {
 public:
@@ -142,7 +145,7 @@
     try {
         const std::string staged =
             fetch_kept_blocks(m_state, m_call, m_kept_blocks, choice);
-        // Nobody waits for it any more: nothing is sent.
+        // The caller has disconnected, so nothing is sent.
         if (m_caller_gone)
             return;
         dispatch(choice, staged);
@@ -180,7 +183,7 @@
     m_crashes.record_send();
     m_has_gap = false;
     m_state.routing.with([&](Routing& routing) {
-        // A mark may have come while blocks were fetched.
+        // The engine may have been marked as leaving during the fetch.
         const EngineEntry* engine = routing.engines.find(choice.engine);
         const TimePoint now = monotonic_now();
         if (!engine || now < engine->leaving_until)
@@ -236,7 +239,8 @@
 bool
 CompletionRun::can_resume(const Error& failure) const
 {
-    // An engine that was silent for so long would only be silent again.
+    // An engine that sent nothing until the timeout is unlikely to answer a
+    // resume.
     return !is_not_run(failure.run_state()) && !m_wrong_weights &&
            failure.code() != ErrorCode::UpstreamTimeout;
 }
@@ -245,7 +249,8 @@
 CompletionRun::resume(const std::string& address, const std::string& run_id)
 {
     for (int i = 0; i < max_resumes && !m_caller_gone; ++i) {
-        // The first one goes out at once; a link that stays broken needs time.
+        // The first resume is sent at once; the next ones wait, since a broken
+        // link needs time to recover.
         if (i > 0)
             std::this_thread::sleep_for(
                 with_jitter(resume_backoff * (1 << (i - 1))));
@@ -258,7 +263,7 @@
                 });
         } catch (const Error& failure) {
             spdlog::debug("resume at {}: {}", address, failure.what());
-            // Nobody listens there: another engine serves it sooner.
+            // The engine takes no connection: another one answers sooner.
             if (failure.run_state() == RunState::NotDispatched &&
                 m_call.repeatable)
                 break;
@@ -330,8 +335,9 @@
 bool
 CompletionRun::may_try_again(const Error& failure)
 {
-    // An answer that can't be sent or a broken promise is not mended by
-    // another engine.
+    // Another engine would not help where the answer can't be sent, an
+    // invariant is violated, no engine takes work, or engines ended each time
+    // they ran this prompt.
     if (failure.code() == ErrorCode::Internal ||
         failure.code() == ErrorCode::NoUpstream ||
         failure.code() == ErrorCode::RequestEndsUpstreams)
@@ -352,7 +358,7 @@
     if (!is_not_run(failure.run_state())) {
         m_may_have_run = true;
         probe_for_end(address);
-        // It may still run there, for nobody.
+        // The attempt may still run at the engine; its answer is not used.
         cancel_current();
     }
     const TimePoint now = monotonic_now();
@@ -360,9 +366,9 @@
                  m_call.request_id, m_call.account->name, m_attempts, address,
                  error_name(failure.code()), failure.what());
     m_state.routing.with([&](Routing& routing) {
-        // A refusal counts as the engine's word that it leaves or swaps: it
-        // gets nothing more until its next reports can tell, nor in the backoff
-        // that it asked for.
+        // An engine that refuses is taken to leave or to swap its weights. It
+        // gets no work until its next reports can have arrived, nor during the
+        // backoff that it asked for.
         const Micros backoff = failure.retry_after().value_or(min_leaving_time);
         if (failure.code() == ErrorCode::UpstreamRefused ||
             failure.code() == ErrorCode::WrongWeights)
@@ -373,8 +379,8 @@
     });
 }
 
-/// Throws where too many engines ended under this prompt: the next one would
-/// end as well.
+/// Throws where too many engines ended while they ran this prompt: the next
+/// engine would end as well.
 void
 CompletionRun::reject_if_blocked()
 {
@@ -383,8 +389,8 @@
                     "engines ended each time they ran this prompt");
 }
 
-/// Takes note that an engine broke the prompt off: it may have ended, which is
-/// looked at now, and a few times later.
+/// Records that the prompt was interrupted at an engine. The engine's process
+/// may have ended: its port is probed now, and a few times later.
 void
 CompletionRun::probe_for_end(const std::string& address)
 {
--- a/src/serve/completion_run.h
+++ b/src/serve/completion_run.h
@@ -24,14 +24,14 @@
 namespace crosslink
 {
 
-/// Times of one answer, for the report.
+/// Token times of one answer, for the burn report.
 struct AnswerTimes {
     std::optional<TimePoint> first_token;
     TimePoint last_token{};
     Micros slowest_between{0};
 };
 
-/// The duties that a run hands work to.
+/// The background duties that a run uses.
 struct RunDuties {
     ExportDuty& exports;
     CallerWatch& watch;
@@ -39,20 +39,22 @@
 };
 
 /// Runs one completion to its end: routes it, fetches kept blocks, sends it to
-/// an engine, and relays the answer; takes a broken stream up again or goes on
-/// elsewhere from what the caller already has.
+/// an engine and relays the answer. Resumes an interrupted stream at the same
+/// engine, or continues at another engine after the tokens that the caller
+/// already has.
 class CompletionRun
 {
 public:
-    /// Gives the caller one token. Returns false where the caller went away.
+    /// Sends one token to the caller. Returns false where the caller has
+    /// disconnected.
     using TokenSink = std::function<bool(std::string_view text)>;
 
     CompletionRun(InstanceState& state, RunDuties& duties,
                   const CompletionCall& call, TokenSink sink);
 
-    /// Returns once the answer is whole, or the caller went away. Throws Error
-    /// whose run_state() tells what is known of the request as a whole.
-    /// `socket` is the caller's, -1 for none.
+    /// Returns once the answer is complete or the caller has disconnected.
+    /// Throws Error whose run_state() holds for all attempts together. `socket`
+    /// is the caller's, -1 for none.
     void run(int socket);
 
     const Relay& relay() const { return m_relay; }
@@ -64,7 +66,9 @@
     RouteChoice route();
     void attempt(const RouteChoice& choice);
     EngineRun make_engine_run() const;
-    /// Notes the attempt everywhere before its first byte goes out.
+    /// Records the attempt in the relay, the crash history, the routing tables
+    /// and the metrics, before its first byte is sent. Throws Error where the
+    /// engine is leaving.
     void record_attempt(const RouteChoice& choice, const EngineRun& run);
     void dispatch(const RouteChoice& choice, const std::string& staged_id);
     bool can_resume(const Error& failure) const;
@@ -93,7 +97,7 @@
     bool m_wrong_weights = false;
     std::atomic<bool> m_caller_gone{false};
     std::mutex m_current_mutex;
-    std::string m_current_engine; ///< Where an attempt runs now.
+    std::string m_current_engine; ///< Address; engine of the latest attempt.
     std::string m_current_run;
 };
 
--- a/src/serve/duty.h
+++ b/src/serve/duty.h
@@ -14,22 +14,23 @@
 namespace crosslink
 {
 
-/// A thread with one duty that is done again and again: after a period, or at
-/// once after wake().
+/// A thread that calls a function in rounds: after the time that the last round
+/// returned, or at once after wake().
 class Duty
 {
 public:
-    /// Does its round and returns how long to wait until the next.
+    /// Does one round and returns how long to wait until the next one.
     using Round = std::function<Micros()>;
 
-    /// Starts the thread. What `round` throws is logged under `name`.
+    /// Starts the thread. An exception from `round` is logged under `name`, and
+    /// the next round begins a second later.
     Duty(std::string name, Round round);
-    /// Stops after the round that runs.
+    /// Waits for the current round and stops the thread.
     ~Duty();
     Duty(const Duty&) = delete;
     Duty& operator=(const Duty&) = delete;
 
-    /// Lets the next round begin at once.
+    /// Starts the next round at once, or right after the current one.
     void wake();
 
 private:
--- a/src/serve/duty_waker.h
+++ b/src/serve/duty_waker.h
@@ -10,7 +10,8 @@
 namespace crosslink
 {
 
-/// Lets one duty wake another, which may not exist yet or any more.
+/// Lets one duty wake another that may not exist yet, or no longer.
+/// Thread-safe.
 class DutyWaker
 {
 public:
@@ -21,6 +22,7 @@
         m_duty = duty;
     }
 
+    /// Wakes the duty; does nothing where there is none.
     void wake()
     {
         const std::lock_guard lock(m_mutex);
--- a/src/serve/export_duty.cpp
+++ b/src/serve/export_duty.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::size_t queue_capacity = 256;
 
-/// Gives up the reservations of the blocks from `first` on.
+/// Abandons the reservations of the blocks from index `first` on.
 void
 abandon_reservations(Store& store, const std::vector<ExportBlock>& blocks,
                      std::size_t first)
@@ -27,7 +27,7 @@
         try {
             store.abandon(blocks[i].key, blocks[i].handle);
         } catch (const Error&) {
-            // The store ends a reservation by itself when it needs the room.
+            // The store ends reservations by itself when it needs the space.
             continue;
         }
     }
@@ -90,7 +90,8 @@
     for (std::size_t i = kept; i < job.keys.size(); ++i) {
         const auto handle =
             store->reserve(job.keys[i], job.account, job.block_bytes);
-        // Somebody else writes it now; what follows is of use only after it.
+        // Another engine writes this block now. The blocks after it are only
+        // of use once it is there.
         if (!handle)
             break;
         blocks.push_back({job.keys[i], *handle});
@@ -100,8 +101,8 @@
     std::size_t sealed = 0;
     try {
         const auto contents = engine->export_blocks(store_address, blocks);
-        // A block is listed only from its seal on, and the seal only follows
-        // the engine's word that all of it is written.
+        // A store lists a block only once it is sealed, and a block is sealed
+        // only after the engine reported that it is completely written.
         for (; sealed < contents.size() && sealed < blocks.size(); ++sealed)
             store->seal(blocks[sealed].key, blocks[sealed].handle,
                         contents[sealed]);
--- a/src/serve/export_duty.h
+++ b/src/serve/export_duty.h
@@ -15,7 +15,7 @@
 namespace crosslink
 {
 
-/// Blocks of one prompt that were just computed and may be asked for again.
+/// Blocks of one prompt that were just computed and may be reused.
 struct ExportJob {
     std::string engine; ///< Address of the engine that has them.
     std::string account;
@@ -23,8 +23,9 @@
     std::uint64_t block_bytes = 0; ///< KV bytes of each block.
 };
 
-/// Puts computed blocks into the stores, after the answer is out. A full ring
-/// drops jobs: kept work saves time, it is never owed.
+/// Exports computed blocks to the stores on a thread of its own, after the
+/// answer was sent. A full queue drops jobs: kept blocks only save time, and
+/// none are required.
 class ExportDuty
 {
 public:
@@ -33,6 +34,7 @@
     ExportDuty(const ExportDuty&) = delete;
     ExportDuty& operator=(const ExportDuty&) = delete;
 
+    /// Queues `job`; ignores one without keys.
     void add(ExportJob job);
 
 private:
--- a/src/serve/guarded.h
+++ b/src/serve/guarded.h
@@ -9,8 +9,8 @@
 namespace crosslink
 {
 
-/// A value that several threads use under one lock. The core's state machines
-/// are plain values; this is what makes them safe to share.
+/// A value with a mutex, for several threads. The state machines of the core
+/// library do no locking; this class makes them safe to share.
 template<typename Value> class Guarded
 {
 public:
@@ -20,8 +20,8 @@
     {
     }
 
-    /// Calls `use` with the value under the lock and returns its result. `use`
-    /// must be short: no input or output.
+    /// Calls `use` with the value while holding the lock, and returns the
+    /// result. `use` must be short and do no input or output.
     template<typename Use> auto with(Use&& use)
     {
         const std::lock_guard lock(m_mutex);
--- a/src/serve/kept_fetch.cpp
+++ b/src/serve/kept_fetch.cpp
@@ -20,12 +20,12 @@
 namespace
 {
 
-/// A fetch may take this many times as long as it was expected to, and no
-/// less than the floor; then recomputing overtakes it.
+/// A fetch is given up after this many times its expected duration, but not
+/// before the minimum; from then on recomputing is faster.
 constexpr int max_delay_factor = 3;
 constexpr Micros min_fetch_timeout = std::chrono::milliseconds(250);
 
-/// Notes a fetch in the link table for as long as it is under way.
+/// Records a fetch in the link table for the lifetime of the object.
 class ActiveTransfer
 {
 public:
--- a/src/serve/kept_fetch.h
+++ b/src/serve/kept_fetch.h
@@ -22,12 +22,13 @@
 };
 
 /// Asks the preferred store which blocks of the prompt it has. A store that
-/// can't be reached counts as empty: the prompt is then recomputed.
+/// can't be reached counts as empty; the prompt is then recomputed.
 KeptBlocks lookup_kept_blocks(InstanceState& state, const CompletionCall& call);
 
-/// Lets `engine` fetch the kept blocks that `choice` names. Returns the id of
-/// the staged import, or an empty text where it is to be recomputed: the fetch
-/// failed, fell behind, or the check after the read found it unsound.
+/// Lets the engine of `choice` fetch the kept blocks that `choice` names.
+/// Returns the id of the staged import. Returns an empty string where the
+/// blocks must be recomputed: none were to be fetched, the fetch failed or took
+/// too long, or the check after the read found that the blocks are not valid.
 std::string fetch_kept_blocks(InstanceState& state, const CompletionCall& call,
                               const KeptBlocks& kept,
                               const RouteChoice& choice);
--- a/src/serve/plain_calls.cpp
+++ b/src/serve/plain_calls.cpp
@@ -47,8 +47,8 @@
     return call;
 }
 
-/// Throws where the service refused the call, and keeps the backoff that it
-/// asked for.
+/// Throws Error where the upstream refused the call, and records the backoff
+/// that it asked for.
 void
 PlainCalls::throw_if_refused(const PlainAnswer& answer,
                              const std::string& address)
@@ -62,7 +62,8 @@
                 RunState::RefusedBeforeRun, default_retry_delay);
 }
 
-/// Returns when to come back to a service of which no instance takes work.
+/// Returns the delay after which a caller should retry a service of which no
+/// upstream takes work.
 Micros
 PlainCalls::retry_delay_for(const std::string& service)
 {
--- a/src/serve/plain_calls.h
+++ b/src/serve/plain_calls.h
@@ -13,16 +13,16 @@
 namespace crosslink
 {
 
-/// Sends a call to the instances of a plain service: to the next one where the
-/// call was certainly not run, or where it may run again.
+/// Sends calls to the upstreams of a plain service. Tries the next upstream
+/// where the call certainly did not run, or where it may be repeated.
 class PlainCalls
 {
 public:
     explicit PlainCalls(InstanceState& state) : m_state(state) {}
 
-    /// Returns the whole answer. `repeatable` allows another try after a
-    /// failure that leaves open whether the call ran. Throws Error whose
-    /// run_state() holds for all tries together.
+    /// Returns the complete answer. `repeatable` allows another attempt after a
+    /// failure that leaves unknown whether the call ran. Throws Error whose
+    /// run_state() holds for all attempts together.
     PlainAnswer run(const std::string& service, const std::string& account,
                     const PlainCall& call, bool repeatable);
 
@@ -34,8 +34,8 @@
     InstanceState& m_state;
 };
 
-/// Returns the call that goes out for a caller's request: the caller's key to
-/// crosslink stays here.
+/// Returns the call to send for a caller's request. The caller's API key for
+/// crosslink is not passed on.
 PlainCall plain_call_of(const CallerRequest& request,
                         const std::string& account);
 
--- a/src/serve/process_end_probe.cpp
+++ b/src/serve/process_end_probe.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// Between two rounds where nothing is due: a failure wakes the duty.
+/// Time between two rounds where no probe is due; a new failure wakes the duty.
 constexpr Micros idle_pause = std::chrono::seconds(60);
 constexpr Micros min_pause = std::chrono::milliseconds(20);
 
--- a/src/serve/process_end_probe.h
+++ b/src/serve/process_end_probe.h
@@ -15,19 +15,20 @@
 namespace crosslink
 {
 
-/// Looks at the ports of processes that broke calls off, until a verdict on
-/// them is known or its time is over. A thread of its own, so that no caller
-/// waits for it; idle where nothing broke lately.
+/// Probes the ports of processes that interrupted calls, until it is known
+/// whether a process ended or the time for a verdict is over. Uses a thread of
+/// its own, so that no caller waits for a probe; the thread is idle where no
+/// call was interrupted lately.
 class ProcessEndProbe
 {
 public:
-    /// Called with what a look found.
+    /// Called with the result of each probe.
     using ProbeCallback = std::function<void(const ProbeTarget&, PortLook)>;
-    /// Called at each round, for verdicts that come with time.
+    /// Called in each round, for verdicts that depend on the time alone.
     using RoundCallback = std::function<void()>;
 
-    /// `failures` and `failure_added`, which is woken at each failure, outlive
-    /// it.
+    /// `failures` and `failure_added` must outlive this object, which registers
+    /// its duty with `failure_added` so that a new failure starts a round.
     ProcessEndProbe(Guarded<UnresolvedFailures>& failures,
                     DutyWaker& failure_added, ProbeCallback on_probe,
                     RoundCallback on_round);
--- a/src/serve/request_crashes.cpp
+++ b/src/serve/request_crashes.cpp
@@ -26,7 +26,7 @@
     return m_digest;
 }
 
-/// Where no upstream ended lately, no digest needs to be worked out.
+/// Where this is false, no digest needs to be computed.
 bool
 RequestCrashes::has_recent_ends()
 {
@@ -43,8 +43,8 @@
            });
 }
 
-/// A break without a verdict counts too: the next copy may be sent, and end the
-/// next runner, long before one comes.
+/// A failure without a verdict counts too: long before the verdict, the next
+/// copy of the request may be sent and end the next runner.
 bool
 RequestCrashes::failed_before()
 {
--- a/src/serve/request_crashes.h
+++ b/src/serve/request_crashes.h
@@ -16,30 +16,32 @@
 namespace crosslink
 {
 
-/// One request's part of the history of requests under which upstreams ended:
-/// whether it may be sent, and what became of it. For one thread.
+/// The crash history as one request uses it: whether the request may be sent,
+/// and the outcome of its attempts. Not thread-safe.
 class RequestCrashes
 {
 public:
     using DigestFunction = std::function<std::string()>;
 
-    /// `history` and `breaks` outlive it. `make_digest` is called once at most,
-    /// and only where it matters: it reads the whole request.
+    /// `history` and `failures` must outlive this object. `compute_digest`
+    /// reads the whole request; it is called once at most, and only where the
+    /// digest is needed.
     RequestCrashes(Guarded<CrashHistory>& history,
                    Guarded<UnresolvedFailures>& failures,
                    DigestFunction compute_digest);
 
-    /// Returns whether the request is to be sent nowhere.
+    /// Returns whether the request must not be sent to any upstream.
     bool blocked();
-    /// Returns whether an upstream ended under it, or broke it off a moment
-    /// ago.
+    /// Returns whether an upstream ended while it ran the request, or recently
+    /// interrupted it.
     bool failed_before();
-    /// Takes note that it is sent to an upstream.
+    /// Records that the request is sent to an upstream.
     void record_send() { m_again = failed_before(); }
-    /// Takes note that an upstream answered it whole.
+    /// Records that an upstream answered the request completely.
     void record_answer();
-    /// Takes note that `upstream`, to which it was sent last, broke it off, or
-    /// answered that it failed. Returns whether it is known to have ended.
+    /// Records that `upstream`, to which the request was sent last, interrupted
+    /// it or answered that it failed. `is_probed`: see UnresolvedFailure.
+    /// Returns whether the upstream is known to have ended.
     bool record_failure(const ProbeTarget& upstream, bool is_probed);
 
     /// See request_digest().
@@ -53,11 +55,11 @@
     Guarded<CrashHistory>& m_history;
     Guarded<UnresolvedFailures>& m_failures;
     const DigestFunction m_compute_digest;
-    std::string m_digest; ///< Empty before it is asked for.
+    std::string m_digest; ///< Empty until digest() is called.
     bool m_again = false;
 };
 
-/// Takes in calls under which a process ended. Returns how many.
+/// Records calls during which a process ended. Returns their number.
 std::size_t record_process_ends(Guarded<CrashHistory>& history,
                                 std::span<const InterruptedCall> calls);
 
--- a/src/serve/request_path.cpp
+++ b/src/serve/request_path.cpp
@@ -47,7 +47,8 @@
     return path.substr(0, path.find('?'));
 }
 
-/// Who a returning caller is: the one it names, else its whole account.
+/// Returns the key of the traffic split: the user that the request names, else
+/// the account.
 const std::string&
 caller_id(const CompletionCall& call, const ClientAccount& account)
 {
@@ -66,7 +67,8 @@
 void
 RequestPath::serve(const CallerRequest& request, CallerReply& reply)
 {
-    // One revision from start to end: a change takes hold with the next one.
+    // The whole request uses one revision; a change applies from the next
+    // request on.
     const ConfigurationPtr configuration = m_state.configuration.current();
     if (!m_state.ready || !configuration)
         throw Error(ErrorCode::NotReady, "this instance does not serve now",
@@ -156,8 +158,8 @@
             reply.begin_stream();
         }
         const bool sent = reply.send_event(formatter.token_event(text));
-        // A claimed answer is kept for the caller's retry, so the run
-        // goes on when the caller went away.
+        // The answer of a claimed call is cached for the caller's retry, so
+        // the run goes on after the caller disconnected.
         return sent || !call.repeatable;
     });
     try {
@@ -167,7 +169,7 @@
         return answer;
     } catch (const Error& failure) {
         record_outcome(run, call, request);
-        // The answer has begun: it ends with a typed error, never silently.
+        // A stream that has begun must end with a typed error, not silently.
         if (reply.streaming())
             reply.send_event(error_event(failure));
         throw;
@@ -275,8 +277,8 @@
         reply.answer(dispatch(), {});
         return;
     }
-    // The claim is on the caller's service name, not on where it runs, so that
-    // a change of the split does not open the way for a second run.
+    // The claim names the path that the caller called, not the service that
+    // runs it, so that a change of the split can't lead to a second run.
     const AtMostOnceCall at_most_once_call{
         &account, path_without_query(request.path), request.idempotency_key,
         fingerprint_of(request)};
--- a/src/serve/request_path.h
+++ b/src/serve/request_path.h
@@ -16,16 +16,17 @@
 namespace crosslink
 {
 
-/// The way of one request, in order: authenticate, admit, claim, route, fetch
-/// kept KV, dispatch, relay, settle.
+/// Serves the requests of callers. The steps of a request, in order:
+/// authenticate, admit, claim, route, fetch kept KV, dispatch, relay, record
+/// the outcome.
 class RequestPath
 {
 public:
     RequestPath(InstanceState& state, ClaimHandler& claim_handler,
                 RunDuties duties);
 
-    /// Serves one request of a caller. Throws Error where nothing was sent to
-    /// the caller yet; a failure after that ends the stream with an error.
+    /// Serves one request of a caller. Throws Error where it fails. Where a
+    /// stream has begun, the error event is sent before the Error is thrown.
     void serve(const CallerRequest& request, CallerReply& reply);
 
     AdmissionGate& gate() { return m_gate; }
@@ -42,7 +43,8 @@
     void serve_from_old_fleet(const TrafficSplit& split,
                               const ClientAccount& account,
                               const CallerRequest& request, CallerReply& reply);
-    /// `marked`: the template says that this call may not be repeated.
+    /// `marked_not_repeatable`: the template says that the call may not be
+    /// repeated.
     void call_plain(const std::string& service, const ClientAccount& account,
                     const CallerRequest& request, CallerReply& reply,
                     bool marked_not_repeatable);
