--- a/src/serve/claim_handler.cpp
+++ b/src/serve/claim_handler.cpp
@@ -226,7 +226,7 @@
         defer_releases(slice, std::move(releases));
     }
     m_state.metrics.claim_writes += m_committer.writes() - before;
-    m_held = m_committer.held();
+    m_claim_count = m_committer.held();
 }
 
 } // namespace crosslink
--- a/src/serve/claim_handler.h
+++ b/src/serve/claim_handler.h
@@ -48,7 +48,7 @@
     /// not wait for the release to be committed.
     void release(const Claim& claim);
     /// Returns the number of claims that this process holds in memory.
-    std::size_t held() const { return m_held; }
+    std::size_t claim_count() const { return m_claim_count; }
 
 private:
     /// One claim or release that is queued for the committing thread.
@@ -84,7 +84,7 @@
     /// Ids to release once the platform can be reached, by slice. Used by the
     /// committing thread alone.
     std::array<std::vector<std::string>, claim_slices> m_deferred_releases;
-    std::atomic<std::size_t> m_held{0};
+    std::atomic<std::size_t> m_claim_count{0};
     std::thread m_thread;
 };
 
--- a/src/serve/completion_call.cpp
+++ b/src/serve/completion_call.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr std::uint64_t most_tokens = 100'000;
+constexpr std::uint64_t max_completion_tokens = 100'000;
 
 [[noreturn]] void
 reject(const std::string& what)
@@ -95,7 +95,7 @@
         json_uint64(value, "max_tokens", call.max_tokens);
     const Json::Value& given = value["max_tokens"];
     if ((!given.isNull() && !given.isUInt64()) || tokens == 0 ||
-        tokens > most_tokens)
+        tokens > max_completion_tokens)
         reject("\"max_tokens\" must be a whole number from 1 to 100000");
     call.max_tokens = static_cast<std::uint32_t>(tokens);
     call.stream = json_bool(value, "stream");
@@ -108,7 +108,7 @@
 }
 
 Json::Value
-CompletionAnswer::head(const char* kind) const
+CompletionAnswer::make_body(const char* kind) const
 {
     Json::Value value;
     value["id"] = m_call.request_id;
@@ -124,7 +124,7 @@
 {
     const std::string token(text);
     Json::Value value =
-        head(m_call.chat ? "chat.completion.chunk" : "text_completion");
+        make_body(m_call.chat ? "chat.completion.chunk" : "text_completion");
     if (m_call.chat)
         value["choices"][0]["delta"]["content"] = token;
     else
@@ -138,7 +138,7 @@
                              std::uint32_t tokens) const
 {
     Json::Value value =
-        head(m_call.chat ? "chat.completion.chunk" : "text_completion");
+        make_body(m_call.chat ? "chat.completion.chunk" : "text_completion");
     if (m_call.chat)
         value["choices"][0]["delta"] = Json::Value(Json::objectValue);
     else
@@ -149,11 +149,11 @@
 }
 
 std::string
-CompletionAnswer::whole(const std::string& text, std::uint32_t prompt_tokens,
-                        std::uint32_t cached_tokens, std::uint32_t tokens) const
+CompletionAnswer::body(const std::string& text, std::uint32_t prompt_tokens,
+                       std::uint32_t cached_tokens, std::uint32_t tokens) const
 {
     Json::Value value =
-        head(m_call.chat ? "chat.completion" : "text_completion");
+        make_body(m_call.chat ? "chat.completion" : "text_completion");
     if (m_call.chat) {
         value["choices"][0]["message"]["role"] = "assistant";
         value["choices"][0]["message"]["content"] = text;
--- a/src/serve/completion_call.h
+++ b/src/serve/completion_call.h
@@ -53,11 +53,11 @@
                            std::uint32_t cached_tokens,
                            std::uint32_t tokens) const;
     /// Returns the body of an answer that is not streamed.
-    std::string whole(const std::string& text, std::uint32_t prompt_tokens,
-                      std::uint32_t cached_tokens, std::uint32_t tokens) const;
+    std::string body(const std::string& text, std::uint32_t prompt_tokens,
+                     std::uint32_t cached_tokens, std::uint32_t tokens) const;
 
 private:
-    Json::Value head(const char* kind) const;
+    Json::Value make_body(const char* kind) const;
 
     const CompletionCall& m_call;
 };
--- a/src/serve/completion_run.cpp
+++ b/src/serve/completion_run.cpp
@@ -104,7 +104,7 @@
         } catch (const Error& failure) {
             if (m_caller_gone)
                 return;
-            if (!may_try_again(failure))
+            if (!take_retry(failure))
                 throw failure.with_run_state(m_may_have_run
                                                  ? RunState::MayHaveRun
                                                  : failure.run_state());
@@ -333,7 +333,7 @@
 }
 
 bool
-CompletionRun::may_try_again(const Error& failure)
+CompletionRun::take_retry(const Error& failure)
 {
     // Another engine would not help where the answer can't be sent, an
     // invariant is violated, no engine takes work, or engines ended each time
--- a/src/serve/completion_run.h
+++ b/src/serve/completion_run.h
@@ -76,7 +76,9 @@
     FrameVerdict handle_frame(const std::string& address,
                               const EngineFrame& frame);
     void relay_text(const std::string& text);
-    bool may_try_again(const Error& failure);
+    /// Returns whether the request may be retried after `failure`; if so, takes
+    /// the retry from the budget of the account.
+    bool take_retry(const Error& failure);
     void handle_failure(const std::string& address, const Error& failure);
     void reject_if_blocked();
     void probe_for_end(const std::string& address);
--- a/src/serve/peer_server.cpp
+++ b/src/serve/peer_server.cpp
@@ -147,7 +147,7 @@
     value["limits_in_use"] = Json::Value(Json::objectValue);
     for (const AccountUse& use : m_gate.in_use())
         value["limits_in_use"][use.account] = use.open;
-    value["claims_in_memory"] = Json::UInt64(m_claim_handler.held());
+    value["claims_in_memory"] = Json::UInt64(m_claim_handler.claim_count());
     return value;
 }
 
--- a/src/serve/request_path.cpp
+++ b/src/serve/request_path.cpp
@@ -193,8 +193,8 @@
         reply.send_event(done_event);
     }
     return {http_ok, json_content_type,
-            formatter.whole(relay.text(), relay.prompt_tokens(),
-                            relay.cached_tokens(), relay.next_index())};
+            formatter.body(relay.text(), relay.prompt_tokens(),
+                           relay.cached_tokens(), relay.next_index())};
 }
 
 void
