--- a/src/serve/admission_gate.h
+++ b/src/serve/admission_gate.h
@@ -59,8 +59,7 @@
     std::mutex m_mutex;
     std::condition_variable m_changed;
     Admission m_admission;
-    std::set<std::uint64_t>
-        m_admitted; ///< Tickets whose enter() has not returned yet.
+    std::set<std::uint64_t> m_admitted; ///< Not returned by enter() yet.
 };
 
 } // namespace crosslink
--- a/src/serve/at_most_once_runner.h
+++ b/src/serve/at_most_once_runner.h
@@ -28,7 +28,7 @@
 
 /// Runs calls that may run at most once. The claim on the idempotency key is
 /// committed before the dispatch; a retry with the same key gets the cached
-/// answer or a typed error, and is never dispatched again.
+/// answer or a typed error, and never runs the call a second time.
 class AtMostOnceRunner
 {
 public:
--- a/src/serve/request_crashes.cpp
+++ b/src/serve/request_crashes.cpp
@@ -26,7 +26,8 @@
     return m_digest;
 }
 
-/// Where this is false, no digest needs to be computed.
+/// Returns whether an upstream ended lately. If none did, no digest needs to be
+/// computed.
 bool
 RequestCrashes::has_recent_ends()
 {
--- a/src/serve/request_path.cpp
+++ b/src/serve/request_path.cpp
@@ -277,8 +277,8 @@
         reply.answer(dispatch(), {});
         return;
     }
-    // The claim names the path that the caller called, not the service that
-    // runs it, so that a change of the split can't lead to a second run.
+    // The claim names the path of the request, not the service that runs the
+    // call, so that a change of the split can't lead to a second run.
     const AtMostOnceCall at_most_once_call{
         &account, path_without_query(request.path), request.idempotency_key,
         fingerprint_of(request)};
