--- a/src/build-scripts/mutate.py
+++ b/src/build-scripts/mutate.py
@@ -147,7 +147,7 @@
      "known.tokens -= prefilled_since_report",
      "known.tokens -= 0 * prefilled_since_report",
      "unit.*large fleet|unit.*unread"),
-    ("dispatch before claim", "src/serve/once.cpp",
+    ("dispatch before claim", "src/serve/at_most_once_runner.cpp",
      "verdict.kind == ClaimVerdict::Kind::Held", "false",
      "claim|dispatch|settle"),
     ("take a lost race for a win", "src/libcrosslink/claim/claim_committer.cpp",
--- a/src/serve/once.cpp
+++ b/src/serve/at_most_once_runner.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include "once.h"
+#include "at_most_once_runner.h"
 
 #include <adapters/clock.h>
 #include <adapters/random.h>
@@ -17,19 +17,21 @@
 namespace
 {
 
-/// A key may be made by a clock that is ahead by this much; one that is
-/// further ahead would be remembered for too long.
-constexpr UnixMillis clock_slack_ms = 300'000;
-constexpr Micros come_back = std::chrono::seconds(1);
+/// How far the time in a key may be ahead of this clock, since clients' clocks
+/// differ. A key that is further ahead would be remembered for too long.
+constexpr UnixMillis max_clock_skew_ms = 300'000;
+constexpr Micros retry_delay = std::chrono::seconds(1);
 
 } // namespace
 
-Once::Once(InstanceState& state, ClaimDesk& desk) : m_state(state), m_desk(desk)
+AtMostOnceRunner::AtMostOnceRunner(InstanceState& state,
+                                   ClaimHandler& claim_handler)
+    : m_state(state), m_claim_handler(claim_handler)
 {
 }
 
 Claim
-Once::claim_for(const OnceCall& call) const
+AtMostOnceRunner::make_claim(const AtMostOnceCall& call) const
 {
     const UnixMillis now = unix_now();
     Claim claim;
@@ -44,20 +46,20 @@
                     "an Idempotency-Key must be a UUID of version 7 "
                     "(RFC 9562), so that its age is known");
     claim.key_time = key_time.value_or(now);
-    if (claim.key_time > now + clock_slack_ms)
+    if (claim.key_time > now + max_clock_skew_ms)
         throw Error(ErrorCode::UndatedKey,
                     "the Idempotency-Key is from the future");
     return claim;
 }
 
-Once::Result
-Once::run(const OnceCall& call, const Dispatch& dispatch)
+AtMostOnceRunner::Result
+AtMostOnceRunner::run(const AtMostOnceCall& call, const Dispatch& dispatch)
 {
-    const Claim claim = claim_for(call);
+    const Claim claim = make_claim(call);
     const TimePoint began = monotonic_now();
     ClaimVerdict verdict;
     try {
-        verdict = m_desk.decide(claim);
+        verdict = m_claim_handler.decide(claim);
     } catch (const Error&) {
         ++m_state.metrics.claims_unavailable;
         throw;
@@ -93,14 +95,14 @@
             throw Error(ErrorCode::ClaimOutcomeUnknown,
                         std::string("it may have run: ") + failure.what(),
                         RunState::MayHaveRun);
-        m_desk.give_back(claim);
+        m_claim_handler.release(claim);
         throw;
     }
 }
 
-Once::Result
-Once::replay(const OnceCall& call, const Claim& claim,
-             const std::string& holder)
+AtMostOnceRunner::Result
+AtMostOnceRunner::replay(const AtMostOnceCall& call, const Claim& claim,
+                         const std::string& holder)
 {
     HeldAnswer held;
     if (holder == m_state.self_address()) {
@@ -110,7 +112,8 @@
         try {
             held = m_state.clients.peer(holder)->answer_of(claim.key);
         } catch (const Error&) {
-            // The holder is gone or cut off: what became of it is not known.
+            // The holder has stopped or can't be reached, so the outcome of
+            // the earlier request is not known.
             held.state = HeldAnswer::State::Unknown;
         }
     }
@@ -125,7 +128,7 @@
     if (held.state == HeldAnswer::State::Running)
         throw Error(ErrorCode::ClaimInProgress,
                     "an earlier request with this key is being run",
-                    RunState::MayHaveRun, come_back);
+                    RunState::MayHaveRun, retry_delay);
     return {std::move(held.answer), true};
 }
 
--- a/src/serve/canceler.h
+++ b/src/serve/canceler.h
@@ -13,14 +13,14 @@
 namespace crosslink
 {
 
-/// A run that nobody waits for any more.
-struct CancelOrder {
+/// Names a run to cancel because its caller no longer waits for it.
+struct CancelRequest {
     std::string engine; ///< Address.
     std::string run_id;
 };
 
-/// Ends runs at their engines, on a thread of its own, so that a slow engine
-/// holds up nobody.
+/// Cancels runs at their engines, on a thread of its own, so that a slow engine
+/// delays no request.
 class Canceler
 {
 public:
@@ -29,13 +29,13 @@
     Canceler(const Canceler&) = delete;
     Canceler& operator=(const Canceler&) = delete;
 
-    void add(CancelOrder order) { m_ring.push(std::move(order)); }
+    void add(CancelRequest request) { m_queue.push(std::move(request)); }
 
 private:
-    void work();
+    void process_queue();
 
     InstanceState& m_state;
-    BoundedRing<CancelOrder> m_ring;
+    BoundedRing<CancelRequest> m_queue;
     std::thread m_thread;
 };
 
--- a/src/serve/completion_run.cpp
+++ b/src/serve/completion_run.cpp
@@ -22,13 +22,16 @@
 namespace
 {
 
-constexpr Micros leaving_mark = std::chrono::seconds(5);
-constexpr Micros come_back = std::chrono::seconds(1);
-constexpr int most_resumes = 3;
-/// Pause before the second resume; it doubles, and half of it is jitter.
-constexpr Micros resume_pause = std::chrono::milliseconds(100);
+/// How long at least an engine gets no work after it refused some, or answered
+/// with other weights.
+constexpr Micros min_leaving_time = std::chrono::seconds(5);
+constexpr Micros retry_delay = std::chrono::seconds(1);
+constexpr int max_resumes = 3;
+/// Delay before the second resume. It doubles with each further one; up to half
+/// of it is taken off at random.
+constexpr Micros resume_backoff = std::chrono::milliseconds(100);
 
-/// Returns what is the same for all attempts of one prompt; see
+/// Returns the digest that all requests with this prompt share; see
 /// request_digest().
 std::string
 digest_of(const CompletionCall& call)
@@ -38,34 +41,36 @@
     return digest_of_parts(parts);
 }
 
-/// Returns between half of `span` and all of it.
+/// Returns a random time between half of `span` and `span`.
 Micros
-jittered(Micros span)
+with_jitter(Micros span)
 {
     const auto half = static_cast<std::uint64_t>(span.count() / 2);
     return span / 2 + Micros(random_bits() % (half + 1));
 }
 
-/// Watches the caller for as long as it lives.
+/// Watches the caller's connection during the lifetime of the object.
 class WatchedCaller
 {
 public:
-    WatchedCaller(CallerWatch& watch, int socket, std::function<void()> gone)
+    WatchedCaller(CallerWatch& watch, int socket,
+                  std::function<void()> on_disconnect)
         : m_watch(watch),
-          m_number(socket < 0 ? 0 : watch.watch(socket, std::move(gone)))
+          m_watch_id(socket < 0 ? 0
+                                : watch.watch(socket, std::move(on_disconnect)))
     {
     }
     ~WatchedCaller()
     {
-        if (m_number != 0)
-            m_watch.forget(m_number);
+        if (m_watch_id != 0)
+            m_watch.forget(m_watch_id);
     }
     WatchedCaller(const WatchedCaller&) = delete;
     WatchedCaller& operator=(const WatchedCaller&) = delete;
 
 private:
     CallerWatch& m_watch;
-    const std::uint64_t m_number;
+    const std::uint64_t m_watch_id;
 };
 
 } // namespace
@@ -88,20 +93,21 @@
     m_state.retry_budgets.with([this](RetryBudgets& budgets) {
         budgets[m_call.account->name].first_try();
     });
-    m_kept = find_kept(m_state, m_call);
+    m_kept_blocks = lookup_kept_blocks(m_state, m_call);
     for (;;) {
         try {
-            refuse_blocked();
+            reject_if_blocked();
             attempt(route());
             if (m_relay.finished())
-                m_crashes.answered();
+                m_crashes.record_answer();
             return;
         } catch (const Error& failure) {
             if (m_caller_gone)
                 return;
-            if (!may_try_again(failure))
-                throw failure.with_run_state(
-                    m_dispatched ? RunState::MayHaveRun : failure.run_state());
+            if (!take_retry(failure))
+                throw failure.with_run_state(m_may_have_run
+                                                 ? RunState::MayHaveRun
+                                                 : failure.run_state());
         }
     }
 }
@@ -116,9 +122,9 @@
     request.keys = m_call.keys;
     request.prompt_tokens = m_call.prompt_tokens;
     request.zone = m_state.settings.zone;
-    request.store = m_kept.store;
-    request.kept = m_kept.blocks;
-    request.avoid = &m_avoid;
+    request.store = m_kept_blocks.store;
+    request.kept = m_kept_blocks.blocks;
+    request.avoid = &m_failed_engines;
     request.random = random_bits();
     const TimePoint now = monotonic_now();
     const auto choice = m_state.routing.with([&](Routing& routing) {
@@ -128,7 +134,7 @@
     if (!choice)
         throw Error(ErrorCode::NoUpstream,
                     "no engine with this model takes work now",
-                    RunState::NotDispatched, come_back);
+                    RunState::NotDispatched, retry_delay);
     return *choice;
 }
 
@@ -137,8 +143,9 @@
 {
     ++m_attempts;
     try {
-        const std::string staged = fetch_kept(m_state, m_call, m_kept, choice);
-        // Nobody waits for it any more: nothing is sent.
+        const std::string staged =
+            fetch_kept_blocks(m_state, m_call, m_kept_blocks, choice);
+        // The caller has disconnected, so nothing is sent.
         if (m_caller_gone)
             return;
         dispatch(choice, staged);
@@ -146,13 +153,13 @@
             routing.engines.succeeded(choice.engine);
         });
     } catch (const Error& failure) {
-        settle_failure(choice.engine, failure);
+        handle_failure(choice.engine, failure);
         throw;
     }
 }
 
 EngineRun
-CompletionRun::next_run() const
+CompletionRun::make_engine_run() const
 {
     EngineRun run;
     run.run_id = m_call.request_id + "-" + std::to_string(m_attempts);
@@ -170,13 +177,13 @@
 }
 
 void
-CompletionRun::begin_run(const RouteChoice& choice, const EngineRun& run)
+CompletionRun::record_attempt(const RouteChoice& choice, const EngineRun& run)
 {
     m_relay.begin_attempt(run.run_id);
-    m_crashes.sent();
-    m_gap = false;
+    m_crashes.record_send();
+    m_has_gap = false;
     m_state.routing.with([&](Routing& routing) {
-        // A mark may have come while blocks were fetched.
+        // The engine may have been marked as leaving during the fetch.
         const EngineEntry* engine = routing.engines.find(choice.engine);
         const TimePoint now = monotonic_now();
         if (!engine || now < engine->leaving_until)
@@ -198,8 +205,8 @@
 void
 CompletionRun::dispatch(const RouteChoice& choice, const std::string& staged_id)
 {
-    const EngineRun run = next_run();
-    begin_run(choice, run);
+    const EngineRun run = make_engine_run();
+    record_attempt(choice, run);
     const auto end = [&] {
         m_state.routing.with([&](Routing& routing) {
             routing.engines.ended(choice.engine, run.run_id);
@@ -208,14 +215,14 @@
     try {
         m_state.clients.engine(choice.engine)
             ->run(run, staged_id, [&](const EngineFrame& frame) {
-                return take(choice.engine, frame);
+                return handle_frame(choice.engine, frame);
             });
-        if (m_gap && !resume(choice.engine, run.run_id))
+        if (m_has_gap && !resume(choice.engine, run.run_id))
             throw Error(ErrorCode::StreamBroken,
                         "tokens of the stream are missing",
                         RunState::MayHaveRun);
     } catch (const Error& failure) {
-        if (!may_resume(failure) || !resume(choice.engine, run.run_id)) {
+        if (!can_resume(failure) || !resume(choice.engine, run.run_id)) {
             end();
             throw;
         }
@@ -230,9 +237,10 @@
 }
 
 bool
-CompletionRun::may_resume(const Error& failure) const
+CompletionRun::can_resume(const Error& failure) const
 {
-    // An engine that was silent for so long would only be silent again.
+    // An engine that sent nothing until the timeout is unlikely to answer a
+    // resume.
     return !is_not_run(failure.run_state()) && !m_wrong_weights &&
            failure.code() != ErrorCode::UpstreamTimeout;
 }
@@ -240,20 +248,22 @@
 bool
 CompletionRun::resume(const std::string& address, const std::string& run_id)
 {
-    for (int i = 0; i < most_resumes && !m_caller_gone; ++i) {
-        // The first one goes out at once; a link that stays broken needs time.
+    for (int i = 0; i < max_resumes && !m_caller_gone; ++i) {
+        // The first resume is sent at once; the next ones wait, since a broken
+        // link needs time to recover.
         if (i > 0)
             std::this_thread::sleep_for(
-                jittered(resume_pause * (1 << (i - 1))));
-        m_gap = false;
+                with_jitter(resume_backoff * (1 << (i - 1))));
+        m_has_gap = false;
         ++m_state.metrics.resumes;
         try {
             m_state.clients.engine(address)->resume(
-                run_id, m_relay.next_index(),
-                [&](const EngineFrame& frame) { return take(address, frame); });
+                run_id, m_relay.next_index(), [&](const EngineFrame& frame) {
+                    return handle_frame(address, frame);
+                });
         } catch (const Error& failure) {
             spdlog::debug("resume at {}: {}", address, failure.what());
-            // Nobody listens there: another engine serves it sooner.
+            // The engine takes no connection: another one answers sooner.
             if (failure.run_state() == RunState::NotDispatched &&
                 m_call.repeatable)
                 break;
@@ -266,15 +276,16 @@
 }
 
 FrameVerdict
-CompletionRun::take(const std::string& address, const EngineFrame& frame)
+CompletionRun::handle_frame(const std::string& address,
+                            const EngineFrame& frame)
 {
-    m_dispatched = true;
+    m_may_have_run = true;
     switch (m_relay.take(frame)) {
     case RelayAction::Drop:
         ++m_state.metrics.frames_dropped;
         return FrameVerdict::Continue;
     case RelayAction::Gap:
-        m_gap = true;
+        m_has_gap = true;
         return FrameVerdict::Stop;
     case RelayAction::WrongWeights:
         m_wrong_weights = true;
@@ -322,10 +333,11 @@
 }
 
 bool
-CompletionRun::may_try_again(const Error& failure)
+CompletionRun::take_retry(const Error& failure)
 {
-    // An answer that can't be sent or a broken promise is not mended by
-    // another engine.
+    // Another engine would not help where the answer can't be sent, an
+    // invariant is violated, no engine takes work, or engines ended each time
+    // they ran this prompt.
     if (failure.code() == ErrorCode::Internal ||
         failure.code() == ErrorCode::NoUpstream ||
         failure.code() == ErrorCode::RequestEndsUpstreams)
@@ -340,13 +352,13 @@
 }
 
 void
-CompletionRun::settle_failure(const std::string& address, const Error& failure)
+CompletionRun::handle_failure(const std::string& address, const Error& failure)
 {
-    m_avoid.insert(address);
+    m_failed_engines.insert(address);
     if (!is_not_run(failure.run_state())) {
-        m_dispatched = true;
-        note_if_ended(address);
-        // It may still run there, for nobody.
+        m_may_have_run = true;
+        probe_for_end(address);
+        // The attempt may still run at the engine; its answer is not used.
         cancel_current();
     }
     const TimePoint now = monotonic_now();
@@ -354,39 +366,39 @@
                  m_call.request_id, m_call.account->name, m_attempts, address,
                  error_name(failure.code()), failure.what());
     m_state.routing.with([&](Routing& routing) {
-        // A refusal counts as the engine's word that it leaves or swaps: it
-        // gets nothing more until its next reports can tell, nor in the backoff
-        // that it asked for.
-        const Micros backoff = failure.retry_after().value_or(leaving_mark);
+        // An engine that refuses is taken to leave or to swap its weights. It
+        // gets no work until its next reports can have arrived, nor during the
+        // backoff that it asked for.
+        const Micros backoff = failure.retry_after().value_or(min_leaving_time);
         if (failure.code() == ErrorCode::UpstreamRefused ||
             failure.code() == ErrorCode::WrongWeights)
-            routing.engines.mark_leaving(address,
-                                         now + std::max(leaving_mark, backoff));
+            routing.engines.mark_leaving(
+                address, now + std::max(min_leaving_time, backoff));
         else
             routing.engines.failed(address, now);
     });
 }
 
-/// Throws where too many engines ended under this prompt: the next one would
-/// end as well.
+/// Throws where too many engines ended while they ran this prompt: the next
+/// engine would end as well.
 void
-CompletionRun::refuse_blocked()
+CompletionRun::reject_if_blocked()
 {
     if (m_crashes.blocked())
         throw Error(ErrorCode::RequestEndsUpstreams,
                     "engines ended each time they ran this prompt");
 }
 
-/// Takes note that an engine broke the prompt off: it may have ended, which is
-/// looked at now, and a few times later.
+/// Records that the prompt was interrupted at an engine. The engine's process
+/// may have ended: its port is probed now, and a few times later.
 void
-CompletionRun::note_if_ended(const std::string& address)
+CompletionRun::probe_for_end(const std::string& address)
 {
-    m_crashes.broke({address, 0, address}, true);
+    m_crashes.record_failure({address, 0, address}, true);
     if (look_at_port(address).fate == ProcessFate::Ended)
         m_state.engine_ended(address);
     else
-        m_state.unresolved_failure_added.nudge();
+        m_state.unresolved_failure_added.wake();
 }
 
 void
--- a/src/serve/coordinator/kept_duties.h
+++ b/src/serve/coordinator/kept_duties.h
@@ -39,7 +39,7 @@
     void adopt_stores();
     /// Reads the stores at once, when this instance has taken the duty. To be
     /// called by the thread that calls adopt_stores().
-    void nudge();
+    void wake();
     /// Returns where `parts` are stored, for a call that ends within `longest`.
     /// `now` is a time at which this instance was allowed to answer. Throws
     /// Error(LeaseLost) after stop_answering().
--- a/src/serve/coordinator/rollout_duty.h
+++ b/src/serve/coordinator/rollout_duty.h
@@ -24,7 +24,7 @@
     explicit RolloutDuty(ForwardState& state);
 
     /// Starts the next round at once.
-    void nudge() { m_duty.nudge(); }
+    void wake() { m_duty.wake(); }
 
 private:
     /// A named version that is not recorded yet.
--- a/src/serve/coordinator/weights_duty.h
+++ b/src/serve/coordinator/weights_duty.h
@@ -30,7 +30,7 @@
     /// Begins with an empty plan when this instance takes the duty.
     void begin();
     /// Starts the next round at once.
-    void nudge() { m_duty.nudge(); }
+    void wake() { m_duty.wake(); }
     /// Returns the runners that were ordered to load weights and have not
     /// finished.
     std::vector<std::string> loading();
--- a/src/serve/duty.cpp
+++ b/src/serve/duty.cpp
@@ -13,13 +13,13 @@
 namespace
 {
 
-constexpr Micros after_failure = std::chrono::seconds(1);
+constexpr Micros failure_delay = std::chrono::seconds(1);
 
 } // namespace
 
 Duty::Duty(std::string name, Round round)
     : m_name(std::move(name)), m_round(std::move(round)),
-      m_thread([this] { work(); })
+      m_thread([this] { run_rounds(); })
 {
 }
 
@@ -34,30 +34,30 @@
 }
 
 void
-Duty::nudge()
+Duty::wake()
 {
     {
         const std::lock_guard lock(m_mutex);
-        m_nudged = true;
+        m_woken = true;
     }
     m_changed.notify_all();
 }
 
 void
-Duty::work()
+Duty::run_rounds()
 {
     for (;;) {
-        Micros wait = after_failure;
+        Micros wait = failure_delay;
         try {
             wait = m_round();
         } catch (const std::exception& failure) {
             spdlog::warn("duty={} failed: {}", m_name, failure.what());
         }
         std::unique_lock lock(m_mutex);
-        m_changed.wait_for(lock, wait, [this] { return m_nudged || m_stop; });
+        m_changed.wait_for(lock, wait, [this] { return m_woken || m_stop; });
         if (m_stop)
             return;
-        m_nudged = false;
+        m_woken = false;
     }
 }
 
--- a/src/serve/fleet/change_applier.cpp
+++ b/src/serve/fleet/change_applier.cpp
@@ -151,7 +151,7 @@
         else
             breaks.gone(incarnation, gone->zone, in_zone, monotonic_now());
     });
-    m_state.unresolved_failure_added.nudge();
+    m_state.unresolved_failure_added.wake();
 }
 
 void
--- a/src/serve/forward/crash_watch.cpp
+++ b/src/serve/forward/crash_watch.cpp
@@ -42,11 +42,11 @@
 {
     const ProcessFate fate = check_process(runner);
     const bool known =
-        broke({runner.id, runner.start_ms, runner.address}, true);
+        record_failure({runner.id, runner.start_ms, runner.address}, true);
     if (fate == ProcessFate::Ended || known)
         m_state.note_runner_exit(runner.incarnation(), "port");
     else
-        m_state.unresolved_failure_added.nudge();
+        m_state.unresolved_failure_added.wake();
     LogLine("runner_looked_at")
         .field("request", m_call.id)
         .field("digest", digest())
@@ -58,14 +58,14 @@
 void
 CrashWatch::note_failed(const RunnerPick& runner)
 {
-    if (broke({runner.id, runner.start_ms, runner.address}, false))
+    if (record_failure({runner.id, runner.start_ms, runner.address}, false))
         m_state.note_runner_exit(runner.incarnation(), "port");
 }
 
 void
 CrashWatch::note_served(const RunnerPick& runner, TimePoint sent_at)
 {
-    answered();
+    record_answer();
     m_state.breaks.with([&](UnresolvedFailures& failures) {
         if (!failures.empty())
             failures.lives(runner.incarnation(), sent_at);
--- a/src/serve/forward/forward_state.h
+++ b/src/serve/forward/forward_state.h
@@ -8,11 +8,11 @@
 
 #include <adapters/call_connections.h>
 #include <adapters/connection_times.h>
+#include <serve/duty_waker.h>
 #include <serve/fleet/exchange.h>
 #include <serve/guarded.h>
 #include <serve/learned_signal.h>
 #include <serve/metrics.h>
-#include <serve/nudger.h>
 
 #include <crosslink/base/time.h>
 #include <crosslink/forward/crash_history.h>
@@ -135,7 +135,7 @@
     Guarded<CrashHistory> crashes;
     Guarded<UnresolvedFailures> breaks;
     /// Wakes the thread that checks ports, if it runs.
-    Nudger unresolved_failure_added;
+    DutyWaker unresolved_failure_added;
     Guarded<FetchDelayTracker> fetches;
     Guarded<KeptReplica> kept;
     Guarded<DutyLease> coordinator_lease;
--- a/src/serve/instance_state.cpp
+++ b/src/serve/instance_state.cpp
@@ -30,7 +30,7 @@
     const auto calls = breaks.with([&address](UnresolvedFailures& open) {
         return open.ended({address, 0}, monotonic_now());
     });
-    take_ends(crashes, calls);
+    record_process_ends(crashes, calls);
     for (const InterruptedCall& call : calls)
         spdlog::info("engine={} ended under digest={}", address, call.request);
 }
@@ -75,7 +75,7 @@
         return false;
     members.with(
         [revision](MemberTable& table) { table.set_revision(revision); });
-    gossip_now.nudge();
+    gossip_now.wake();
     ++metrics.configuration_changes;
     spdlog::info("revision={} is in force", revision);
     return true;
