--- a/src/serve/caller_server.cpp
+++ b/src/serve/caller_server.cpp
@@ -40,12 +40,13 @@
     {
     }
 
-    void answer(const PlainAnswer& whole,
+    void answer(const PlainAnswer& content,
                 const std::vector<HeaderField>& headers) override
     {
         for (const HeaderField& field : headers)
             m_answer.set(field.name, field.value);
-        send_answer(m_answer, whole.status, whole.content_type, whole.body);
+        send_answer(m_answer, content.status, content.content_type,
+                    content.body);
     }
 
     void begin_stream() override
@@ -56,13 +57,13 @@
         try {
             m_out = &m_answer.send();
         } catch (const Poco::Exception&) {
-            m_gone = true;
+            m_disconnected = true;
         }
     }
 
     bool send_event(std::string_view data) override
     {
-        if (m_gone || m_out == nullptr)
+        if (m_disconnected || m_out == nullptr)
             return false;
         // One write for each event, so that no half of it waits.
         m_event.assign("data: ");
@@ -74,25 +75,31 @@
         return m_out->good();
     }
 
-    bool streaming() const override { return m_out != nullptr || m_gone; }
+    bool streaming() const override
+    {
+        return m_out != nullptr || m_disconnected;
+    }
     int socket() const override { return m_socket; }
 
 private:
     Poco::Net::HTTPServerResponse& m_answer;
     const int m_socket;
     std::ostream* m_out = nullptr;
-    bool m_gone = false; ///< The caller's connection broke.
+    bool m_disconnected = false; ///< The caller's connection broke.
     std::string m_event;
 };
 
 /// Counts a request for as long as it lives.
-class Running
+class RunningCount
 {
 public:
-    explicit Running(std::atomic<int>& count) : m_count(count) { ++m_count; }
-    ~Running() { --m_count; }
-    Running(const Running&) = delete;
-    Running& operator=(const Running&) = delete;
+    explicit RunningCount(std::atomic<int>& count) : m_count(count)
+    {
+        ++m_count;
+    }
+    ~RunningCount() { --m_count; }
+    RunningCount(const RunningCount&) = delete;
+    RunningCount& operator=(const RunningCount&) = delete;
 
 private:
     std::atomic<int>& m_count;
@@ -185,7 +192,7 @@
 CallerServer::handle(Poco::Net::HTTPServerRequest& request,
                      Poco::Net::HTTPServerResponse& answer)
 {
-    const Running running(m_running);
+    const RunningCount running(m_running);
     try {
         // A balancer learns of a planned stop by its next request, too.
         if (m_state.stopping)
--- a/src/serve/clients.cpp
+++ b/src/serve/clients.cpp
@@ -22,7 +22,7 @@
 constexpr Micros short_call = std::chrono::milliseconds(1000);
 
 /// A client unused for so long belongs to an instance that is gone.
-constexpr Micros unused_time = std::chrono::minutes(10);
+constexpr Micros idle_expiry = std::chrono::minutes(10);
 
 template<typename Pool, typename Make>
 auto
@@ -33,13 +33,13 @@
     const std::lock_guard lock(mutex);
     if (!pool.contains(address))
         std::erase_if(pool, [now](const auto& item) {
-            return now - item.second.at > unused_time;
+            return now - item.second.at > idle_expiry;
         });
-    auto& used = pool[address];
-    used.at = now;
-    if (!used.client)
-        used.client = make();
-    return used.client;
+    auto& entry = pool[address];
+    entry.at = now;
+    if (!entry.client)
+        entry.client = make();
+    return entry.client;
 }
 
 } // namespace
--- a/src/serve/clients.h
+++ b/src/serve/clients.h
@@ -40,11 +40,12 @@
 
 private:
     /// A client with the time when it was last asked for.
-    template<typename Client> struct Used {
+    template<typename Client> struct PoolEntry {
         std::shared_ptr<Client> client;
         TimePoint at{};
     };
-    template<typename Client> using Pool = std::map<std::string, Used<Client>>;
+    template<typename Client>
+    using Pool = std::map<std::string, PoolEntry<Client>>;
 
     const Settings& m_settings;
     const std::string m_proof;
--- a/src/serve/configuration_duties.cpp
+++ b/src/serve/configuration_duties.cpp
@@ -26,7 +26,7 @@
 /// Instances of one availability zone that wait at the platform.
 constexpr std::size_t watchers_per_zone = 2;
 constexpr Micros retry_watch = std::chrono::milliseconds(500);
-constexpr Micros look_again = std::chrono::seconds(1);
+constexpr Micros recheck_period = std::chrono::seconds(1);
 constexpr Micros pull_period = std::chrono::seconds(1);
 
 /// Returns between `span` and one and a half times it, so that instances do
@@ -39,7 +39,7 @@
 }
 
 bool
-take_from_platform(InstanceState& state, const PlatformRecord& record)
+load_from_platform(InstanceState& state, const PlatformRecord& record)
 {
     ConfigurationHead head = ConfigurationHead::from_json(record.value);
     if (head.revision <= state.configuration.revision())
@@ -52,12 +52,12 @@
             return std::nullopt;
         return std::move(part->value);
     };
-    return state.put_in_force(load_configuration(
+    return state.activate_if_newer(load_configuration(
         std::move(head), state.configuration.current(), read_part));
 }
 
 bool
-take_from_peer(InstanceState& state, const std::string& address)
+load_from_peer(InstanceState& state, const std::string& address)
 {
     const auto peer = state.clients.peer(address);
     auto head = peer->configuration_head();
@@ -66,7 +66,7 @@
     const auto read_part = [&peer](const Digest& digest) {
         return peer->configuration_part(digest);
     };
-    return state.put_in_force(load_configuration(
+    return state.activate_if_newer(load_configuration(
         std::move(*head), state.configuration.current(), read_part));
 }
 
@@ -112,7 +112,7 @@
         // platform, so the version is read first and then waited above.
         record = platform.read(configuration_head_key);
         if (record)
-            take_from_platform(m_state, *record);
+            load_from_platform(m_state, *record);
         watched = !m_state.stopping &&
                   m_state.is_preferred_in_zone("configuration-watch",
                                                watchers_per_zone);
@@ -121,7 +121,7 @@
             record = m_state.clients.watching_platform().watch(
                 configuration_head_key, seen, watch_time);
             if (record)
-                take_from_platform(m_state, *record);
+                load_from_platform(m_state, *record);
         }
     } catch (const Error& failure) {
         spdlog::debug("configuration watch: {}", failure.what());
@@ -131,7 +131,7 @@
 }
 
 void
-ConfigurationDuties::give_back_memory()
+ConfigurationDuties::trim_heap()
 {
     // Building a configuration leaves much free memory behind in the heap, and
     // its builder may still be at it when the revision is first seen here.
@@ -145,44 +145,44 @@
 Micros
 ConfigurationDuties::pull_round()
 {
-    give_back_memory();
+    trim_heap();
     const auto newest = m_state.members.with(
         [](MemberTable& table) { return table.newest_revision(); });
     if (!newest || newest->revision <= m_state.configuration.revision())
         return pull_period;
-    take_from_peer(m_state, newest->address);
-    return look_again;
+    load_from_peer(m_state, newest->address);
+    return recheck_period;
 }
 
 bool
-ConfigurationDuties::learn_at_start(InstanceState& state)
+ConfigurationDuties::load_at_startup(InstanceState& state)
 {
-    StartupReplies evidence;
+    StartupReplies replies;
     try {
         const auto record =
             state.clients.platform().read(configuration_head_key);
         if (record)
-            take_from_platform(state, *record);
-        evidence.platform_answered = true;
+            load_from_platform(state, *record);
+        replies.platform_answered = true;
     } catch (const Error& failure) {
         spdlog::info("start: the platform can't be reached: {}",
                      failure.what());
     }
     for (const std::string& address : zone_peers(state)) {
-        if (evidence.platform_answered && state.configuration.revision() > 0)
+        if (replies.platform_answered && state.configuration.revision() > 0)
             break;
-        ++evidence.zone_members;
+        ++replies.zone_members;
         try {
-            take_from_peer(state, address);
-            ++evidence.zone_answered;
+            load_from_peer(state, address);
+            ++replies.zone_answered;
         } catch (const Error& failure) {
             // Nobody listens there any more: it serves nothing, so it holds
             // nothing back.
             if (failure.run_state() == RunState::NotDispatched)
-                --evidence.zone_members;
+                --replies.zone_members;
         }
     }
-    return may_start_serving(evidence, state.configuration.revision());
+    return may_start_serving(replies, state.configuration.revision());
 }
 
 } // namespace crosslink
--- a/src/serve/configuration_duties.h
+++ b/src/serve/configuration_duties.h
@@ -24,12 +24,12 @@
 
     /// Learns the newest configuration that can be learned at a start. Returns
     /// whether this instance may serve with it.
-    static bool learn_at_start(InstanceState& state);
+    static bool load_at_startup(InstanceState& state);
 
 private:
     Micros watch_round();
     Micros pull_round();
-    void give_back_memory();
+    void trim_heap();
 
     InstanceState& m_state;
     std::uint64_t m_seen_revision = 0;    ///< Of the pull duty.
--- a/src/serve/entry_instance.cpp
+++ b/src/serve/entry_instance.cpp
@@ -19,8 +19,8 @@
 namespace
 {
 
-constexpr Micros step = std::chrono::milliseconds(20);
-constexpr Micros learn_again = std::chrono::milliseconds(200);
+constexpr Micros poll_interval = std::chrono::milliseconds(20);
+constexpr Micros startup_retry = std::chrono::milliseconds(200);
 
 Settings
 with_advertise(Settings settings)
@@ -69,22 +69,22 @@
 void
 EntryInstance::serve(const std::function<bool()>& stop_asked)
 {
-    learn_configuration(stop_asked);
+    await_configuration(stop_asked);
     while (!stop_asked())
-        std::this_thread::sleep_for(step);
+        std::this_thread::sleep_for(poll_interval);
     stop();
 }
 
 void
-EntryInstance::learn_configuration(const std::function<bool()>& stop_asked)
+EntryInstance::await_configuration(const std::function<bool()>& stop_asked)
 {
     while (!stop_asked()) {
-        if (ConfigurationDuties::learn_at_start(m_state)) {
+        if (ConfigurationDuties::load_at_startup(m_state)) {
             m_state.ready = true;
             spdlog::info("ready revision={}", m_state.configuration.revision());
             return;
         }
-        std::this_thread::sleep_for(learn_again);
+        std::this_thread::sleep_for(startup_retry);
     }
 }
 
@@ -93,7 +93,7 @@
 {
     spdlog::info("a planned stop begins");
     m_state.stopping = true;
-    m_gossip.tell_leaving();
+    m_gossip.announce_leaving();
     try {
         UpstreamDuties::announce(m_state, true);
     } catch (const Error& failure) {
@@ -110,10 +110,10 @@
                monotonic_now() >= latest + m_state.settings.stop_quiet;
     };
     while (!quiet() && monotonic_now() < last)
-        std::this_thread::sleep_for(step);
+        std::this_thread::sleep_for(poll_interval);
     m_callers.stop_listening();
     while (m_callers.running() > 0 && monotonic_now() < last)
-        std::this_thread::sleep_for(step);
+        std::this_thread::sleep_for(poll_interval);
     spdlog::info("stopped, {} answers cut", m_callers.running());
 }
 
--- a/src/serve/entry_instance.h
+++ b/src/serve/entry_instance.h
@@ -38,7 +38,7 @@
     void serve(const std::function<bool()>& stop_asked);
 
 private:
-    void learn_configuration(const std::function<bool()>& stop_asked);
+    void await_configuration(const std::function<bool()>& stop_asked);
     void stop();
 
     InstanceState m_state;
--- a/src/serve/gossip_duty.cpp
+++ b/src/serve/gossip_duty.cpp
@@ -19,7 +19,7 @@
 /// Exchanges made at once for news that must spread.
 constexpr int spread_exchanges = 3;
 /// Marks told in one message.
-constexpr std::size_t most_marks = 16;
+constexpr std::size_t max_marks = 16;
 constexpr Micros period = std::chrono::seconds(1);
 
 } // namespace
@@ -58,7 +58,7 @@
         return routing.engines.marks(monotonic_now());
     });
     for (const auto& [upstream, left] : marks) {
-        if (message.marks.size() == most_marks)
+        if (message.marks.size() == max_marks)
             break;
         message.marks.push_back(
             {upstream, static_cast<std::uint64_t>(left.count()) / 1000});
@@ -76,7 +76,7 @@
     const GossipMessage message = message_to(*target);
     ++m_state.metrics.gossip_rounds;
     try {
-        take(m_state.clients.peer(*target)->gossip(message));
+        apply(m_state.clients.peer(*target)->gossip(message));
     } catch (const Error&) {
         m_state.members.with([&target](MemberTable& table) {
             table.ping_failed(*target, monotonic_now());
@@ -85,7 +85,7 @@
 }
 
 void
-GossipDuty::take(const GossipMessage& message)
+GossipDuty::apply(const GossipMessage& message)
 {
     const auto newest = m_state.members.with([&](MemberTable& table) {
         table.receive(message, monotonic_now());
@@ -105,12 +105,12 @@
 GossipMessage
 GossipDuty::answer(const GossipMessage& message)
 {
-    take(message);
+    apply(message);
     return message_to(message.sender.address);
 }
 
 void
-GossipDuty::tell_leaving()
+GossipDuty::announce_leaving()
 {
     const auto members = m_state.members.with([](MemberTable& table) {
         table.leave();
--- a/src/serve/gossip_duty.h
+++ b/src/serve/gossip_duty.h
@@ -24,13 +24,13 @@
     /// Takes in a peer's message and returns the answer to it.
     GossipMessage answer(const GossipMessage& message);
     /// Tells every live member of a planned stop.
-    void tell_leaving();
+    void announce_leaving();
 
 private:
     Micros round();
     GossipMessage message_to(const std::string& address);
     void exchange();
-    void take(const GossipMessage& message);
+    void apply(const GossipMessage& message);
 
     InstanceState& m_state;
     std::uint64_t m_spread_revision = 0; ///< Spread at once already.
--- a/src/serve/instance_state.cpp
+++ b/src/serve/instance_state.cpp
@@ -68,7 +68,7 @@
 }
 
 bool
-InstanceState::put_in_force(ConfigurationState::ConfigurationPtr candidate)
+InstanceState::activate_if_newer(ConfigurationState::ConfigurationPtr candidate)
 {
     const std::uint64_t revision = candidate->revision();
     if (!configuration.set_if_newer(std::move(candidate)))
--- a/src/serve/instance_state.h
+++ b/src/serve/instance_state.h
@@ -84,7 +84,7 @@
     double limit_share();
     /// Puts `candidate` in force where it is newer, and tells the others.
     /// Returns whether it was newer.
-    bool put_in_force(ConfigurationState::ConfigurationPtr candidate);
+    bool activate_if_newer(ConfigurationState::ConfigurationPtr candidate);
 };
 
 } // namespace crosslink
--- a/src/serve/learned_signal.h
+++ b/src/serve/learned_signal.h
@@ -23,7 +23,7 @@
         {
             const std::lock_guard lock(m_mutex);
         }
-        m_learned.notify_all();
+        m_condition.notify_all();
     }
     /// Waits until `is_known` returns true, at most for `longest`. It is called
     /// under the lock of the signal, and may take others.
@@ -33,12 +33,12 @@
         if (longest.count() <= 0)
             return;
         std::unique_lock lock(m_mutex);
-        m_learned.wait_for(lock, longest, is_known);
+        m_condition.wait_for(lock, longest, is_known);
     }
 
 private:
     std::mutex m_mutex;
-    std::condition_variable m_learned;
+    std::condition_variable m_condition;
 };
 
 } // namespace crosslink
--- a/src/serve/log_line.cpp
+++ b/src/serve/log_line.cpp
@@ -19,7 +19,7 @@
 /// second at the target size, each with up to three lines.
 constexpr std::uint32_t most_lines = 200;
 
-struct Rate {
+struct LineRate {
     Micros::rep second = 0;
     std::uint32_t lines = 0;
     std::uint64_t dropped = 0;
@@ -28,12 +28,12 @@
 /// Takes a line from the rate; returns whether it may be written, and the
 /// lines dropped in an earlier second.
 std::pair<bool, std::uint64_t>
-take_line()
+acquire_line()
 {
-    static Guarded<Rate> guarded;
+    static Guarded<LineRate> guarded;
     const Micros::rep second =
         monotonic_now().time_since_epoch() / std::chrono::seconds(1);
-    return guarded.with([second](Rate& rate) {
+    return guarded.with([second](LineRate& rate) {
         std::uint64_t dropped = 0;
         if (rate.second != second) {
             dropped = rate.dropped;
@@ -57,7 +57,7 @@
 
 LogLine::~LogLine()
 {
-    const auto [written, dropped] = take_line();
+    const auto [written, dropped] = acquire_line();
     if (dropped > 0)
         spdlog::warn("{{\"event\":\"log_lines_dropped\",\"lines\":{}}}",
                      dropped);
--- a/src/serve/peer_server.cpp
+++ b/src/serve/peer_server.cpp
@@ -34,7 +34,7 @@
 
 /// Compares in a time that does not depend on where the texts differ.
 bool
-same_secret(const std::string& one, const std::string& other)
+constant_time_equal(const std::string& one, const std::string& other)
 {
     return one.size() == other.size() &&
            CRYPTO_memcmp(one.data(), other.data(), one.size()) == 0;
@@ -116,7 +116,8 @@
                    Poco::Net::HTTPServerResponse& answer)
 {
     const std::string body = read_body(request, most_body_bytes);
-    if (!same_secret(request.get(wire::peer_proof_header, ""), m_proof)) {
+    if (!constant_time_equal(request.get(wire::peer_proof_header, ""),
+                             m_proof)) {
         send_answer(answer, error_status(ErrorCode::PeerRefused), "text/plain",
                     "the fleet's proof is missing or wrong\n");
         return;
--- a/src/serve/settings.cpp
+++ b/src/serve/settings.cpp
@@ -18,7 +18,7 @@
 namespace
 {
 
-constexpr std::size_t least_secret_bytes = 16;
+constexpr std::size_t min_secret_bytes = 16;
 
 template<typename Number>
 bool
@@ -82,7 +82,7 @@
     std::ifstream file(path);
     if (!std::getline(file, secret))
         return false;
-    return secret.size() >= least_secret_bytes;
+    return secret.size() >= min_secret_bytes;
 }
 
 bool
--- a/src/serve/upstream_directory.cpp
+++ b/src/serve/upstream_directory.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-constexpr Micros first_time_out = std::chrono::milliseconds(500);
-constexpr std::uint32_t most_doublings = 5;
+constexpr Micros first_exclusion = std::chrono::milliseconds(500);
+constexpr std::uint32_t max_doublings = 5;
 
 /// Two lists of the same rows have the same digest, wherever they were read.
 Digest
@@ -46,7 +46,7 @@
               });
     m_digest = digest_of(m_listed);
     m_read_at = read_at;
-    std::erase_if(m_troubles, [this](const auto& item) {
+    std::erase_if(m_failure_states, [this](const auto& item) {
         return std::none_of(m_listed.begin(), m_listed.end(),
                             [&item](const ListedInstance& instance) {
                                 return instance.address == item.first;
@@ -71,8 +71,9 @@
 {
     if (instance.leaving)
         return false;
-    const auto found = m_troubles.find(instance.address);
-    return found == m_troubles.end() || now >= found->second.free_at();
+    const auto found = m_failure_states.find(instance.address);
+    return found == m_failure_states.end() ||
+           now >= found->second.available_at();
 }
 
 std::vector<std::string>
@@ -89,39 +90,40 @@
 UpstreamDirectory::plain_for(std::string_view service, std::string_view zone,
                              std::uint64_t random, TimePoint now) const
 {
-    std::vector<std::string> near;
-    std::vector<std::string> far;
+    std::vector<std::string> same_zone;
+    std::vector<std::string> other_zones;
     for (const ListedInstance& instance : m_listed) {
         const bool fits =
             instance.kind == ListedKind::Plain && instance.service == service;
         if (!fits || !usable(instance, now))
             continue;
-        (instance.zone == zone ? near : far).push_back(instance.address);
+        (instance.zone == zone ? same_zone : other_zones)
+            .push_back(instance.address);
     }
-    for (auto* part : {&near, &far})
+    for (auto* part : {&same_zone, &other_zones})
         if (!part->empty())
             std::rotate(part->begin(),
                         part->begin() +
                             static_cast<std::ptrdiff_t>(random % part->size()),
                         part->end());
-    near.insert(near.end(), far.begin(), far.end());
-    return near;
+    same_zone.insert(same_zone.end(), other_zones.begin(), other_zones.end());
+    return same_zone;
 }
 
 void
 UpstreamDirectory::failed(std::string_view address, TimePoint now)
 {
-    Trouble& trouble = m_troubles[std::string(address)];
-    const std::uint32_t doublings = std::min(trouble.failures, most_doublings);
-    ++trouble.failures;
-    trouble.out_until = now + first_time_out * (1U << doublings);
+    FailureState& state = m_failure_states[std::string(address)];
+    const std::uint32_t doublings = std::min(state.failures, max_doublings);
+    ++state.failures;
+    state.excluded_until = now + first_exclusion * (1U << doublings);
 }
 
 void
 UpstreamDirectory::succeeded(std::string_view address)
 {
-    const auto found = m_troubles.find(address);
-    if (found == m_troubles.end())
+    const auto found = m_failure_states.find(address);
+    if (found == m_failure_states.end())
         return;
     // The answer may be to a call from before the backoff.
     const TimePoint backoff_until = found->second.backoff_until;
@@ -132,8 +134,8 @@
 void
 UpstreamDirectory::backs_off(std::string_view address, TimePoint until)
 {
-    Trouble& trouble = m_troubles[std::string(address)];
-    trouble.backoff_until = std::max(trouble.backoff_until, until);
+    FailureState& state = m_failure_states[std::string(address)];
+    state.backoff_until = std::max(state.backoff_until, until);
 }
 
 std::optional<TimePoint>
@@ -145,9 +147,10 @@
                           instance.service == service && !instance.leaving;
         if (!fits)
             continue;
-        const auto found = m_troubles.find(instance.address);
-        const TimePoint free =
-            found == m_troubles.end() ? TimePoint{} : found->second.free_at();
+        const auto found = m_failure_states.find(instance.address);
+        const TimePoint free = found == m_failure_states.end()
+                                   ? TimePoint{}
+                                   : found->second.available_at();
         earliest = std::min(earliest.value_or(free), free);
     }
     return earliest;
--- a/src/serve/upstream_directory.h
+++ b/src/serve/upstream_directory.h
@@ -54,12 +54,15 @@
     const std::vector<ListedInstance>& listed() const { return m_listed; }
 
 private:
-    struct Trouble {
+    struct FailureState {
         std::uint32_t failures = 0;
-        TimePoint out_until{};
+        TimePoint excluded_until{};
         TimePoint backoff_until{};
 
-        TimePoint free_at() const { return std::max(out_until, backoff_until); }
+        TimePoint available_at() const
+        {
+            return std::max(excluded_until, backoff_until);
+        }
     };
 
     bool usable(const ListedInstance& instance, TimePoint now) const;
@@ -67,7 +70,7 @@
     std::vector<ListedInstance> m_listed; ///< Ordered by address.
     Digest m_digest;
     TimePoint m_read_at{};
-    std::map<std::string, Trouble, std::less<>> m_troubles;
+    std::map<std::string, FailureState, std::less<>> m_failure_states;
 };
 
 } // namespace crosslink
--- a/src/serve/upstream_directory_test.cpp
+++ b/src/serve/upstream_directory_test.cpp
@@ -45,29 +45,29 @@
 
 TEST_CASE("an upstream gets nothing in the backoff that it asked for")
 {
-    UpstreamDirectory table = directory();
-    table.backs_off("a", at(3000));
-    table.backs_off("a", at(1000));
-    table.failed("a", at(10));
-    CHECK(usable(table, 2999) == std::vector<std::string>{"b"});
+    UpstreamDirectory upstreams = directory();
+    upstreams.backs_off("a", at(3000));
+    upstreams.backs_off("a", at(1000));
+    upstreams.failed("a", at(10));
+    CHECK(usable(upstreams, 2999) == std::vector<std::string>{"b"});
     // A call from before the backoff ends well.
-    table.succeeded("a");
-    CHECK(usable(table, 2999) == std::vector<std::string>{"b"});
-    CHECK(usable(table, 3000).size() == 2);
+    upstreams.succeeded("a");
+    CHECK(usable(upstreams, 2999) == std::vector<std::string>{"b"});
+    CHECK(usable(upstreams, 3000).size() == 2);
     // The list is read anew meanwhile.
-    table.sync(std::vector<ListedInstance>(table.listed()), at(20));
-    CHECK(usable(table, 2999).size() == 1);
+    upstreams.sync(std::vector<ListedInstance>(upstreams.listed()), at(20));
+    CHECK(usable(upstreams, 2999).size() == 1);
 }
 
 TEST_CASE("where all upstreams back off, it is known when one takes work again")
 {
-    UpstreamDirectory table = directory();
-    CHECK(table.plain_free_at("s") == TimePoint{});
-    table.backs_off("a", at(3000));
-    table.backs_off("b", at(2000));
-    CHECK(usable(table, 1999).empty());
-    CHECK(table.plain_free_at("s") == at(2000));
-    CHECK_FALSE(table.plain_free_at("t"));
+    UpstreamDirectory upstreams = directory();
+    CHECK(upstreams.plain_free_at("s") == TimePoint{});
+    upstreams.backs_off("a", at(3000));
+    upstreams.backs_off("b", at(2000));
+    CHECK(usable(upstreams, 1999).empty());
+    CHECK(upstreams.plain_free_at("s") == at(2000));
+    CHECK_FALSE(upstreams.plain_free_at("t"));
 }
 
 } // namespace crosslink
--- a/src/serve/upstream_duties.cpp
+++ b/src/serve/upstream_duties.cpp
@@ -19,7 +19,7 @@
 {
 
 /// Engines of other zones are asked for their load only every so many rounds.
-constexpr std::uint64_t far_rounds = 5;
+constexpr std::uint64_t other_zone_rounds = 5;
 /// This instance is announced every so many rounds.
 constexpr std::uint64_t announce_rounds = 2;
 /// Instances of one zone that read the platform's list; the others ask them.
@@ -27,7 +27,7 @@
 constexpr std::string_view list_duty = "upstream-list";
 /// A reader whose list is older than this has lost the platform; another one
 /// may still reach it.
-constexpr Micros oldest_list = std::chrono::seconds(10);
+constexpr Micros max_list_age = std::chrono::seconds(10);
 
 std::vector<ListedEngine>
 engines_of(std::span<const ListedInstance> listed)
@@ -49,9 +49,9 @@
 }
 
 void
-UpstreamDuties::take_list(InstanceState& state,
-                          std::span<const ListedInstance> listed,
-                          TimePoint read_at)
+UpstreamDuties::apply_list(InstanceState& state,
+                           std::span<const ListedInstance> listed,
+                           TimePoint read_at)
 {
     const auto engines = engines_of(listed);
     state.routing.with([&](Routing& routing) {
@@ -66,7 +66,7 @@
 {
     const TimePoint now = monotonic_now();
     const auto listed = state.clients.platform().instances();
-    take_list(state, listed, now);
+    apply_list(state, listed, now);
     state.members.with([&listed](MemberTable& table) {
         for (const ListedInstance& instance : listed)
             if (instance.kind == ListedKind::Entry && !instance.leaving)
@@ -75,13 +75,13 @@
 }
 
 bool
-UpstreamDuties::take_list_of_reader()
+UpstreamDuties::fetch_list_from_readers()
 {
     std::vector<Member> readers = m_state.preferred_in_zone(list_duty);
     readers.resize(std::min(readers.size(), list_readers));
     for (const Member& reader : readers) {
         try {
-            if (take_list_of(reader.address))
+            if (fetch_list_from(reader.address))
                 return true;
         } catch (const Error& failure) {
             spdlog::debug("list of {}: {}", reader.address, failure.what());
@@ -91,17 +91,17 @@
 }
 
 bool
-UpstreamDuties::take_list_of(const std::string& address)
+UpstreamDuties::fetch_list_from(const std::string& address)
 {
     const TimePoint now = monotonic_now();
     const UpstreamList own = m_state.directory.with(
         [now](UpstreamDirectory& directory) { return directory.list(now); });
     const UpstreamList theirs =
         m_state.clients.peer(address)->upstream_list(own.digest);
-    if (theirs.age > oldest_list)
+    if (theirs.age > max_list_age)
         return false;
     if (theirs.digest != own.digest)
-        take_list(m_state, theirs.upstreams, now - theirs.age);
+        apply_list(m_state, theirs.upstreams, now - theirs.age);
     else
         m_state.directory.with([&](UpstreamDirectory& directory) {
             directory.confirm(now - theirs.age);
@@ -130,7 +130,7 @@
             announce(m_state, m_state.stopping);
         const bool reads =
             m_state.is_preferred_in_zone(list_duty, list_readers);
-        if (reads || !take_list_of_reader())
+        if (reads || !fetch_list_from_readers())
             read_list(m_state);
     } catch (const Error& failure) {
         // The last list stays: what it names is served as long as it answers.
@@ -142,7 +142,7 @@
 Micros
 UpstreamDuties::load_round()
 {
-    const bool all = m_load_rounds++ % far_rounds == 0;
+    const bool all = m_load_rounds++ % other_zone_rounds == 0;
     std::vector<std::string> addresses;
     m_state.routing.with([&](Routing& routing) {
         for (const auto& [address, engine] : routing.engines.entries())
@@ -150,19 +150,19 @@
                 addresses.push_back(address);
     });
     for (const std::string& address : addresses)
-        report(address);
+        update_load_of(address);
     return m_state.settings.load_period;
 }
 
 void
-UpstreamDuties::report(const std::string& address)
+UpstreamDuties::update_load_of(const std::string& address)
 {
     try {
         const EngineLoad load = m_state.clients.engine(address)->load();
         m_state.routing.with([&](Routing& routing) {
             routing.engines.update_load(address, load, monotonic_now());
         });
-        follow_events(address, load);
+        apply_cache_events(address, load);
     } catch (const Error& failure) {
         spdlog::debug("load of {}: {}", address, failure.what());
         m_state.routing.with(
@@ -171,8 +171,8 @@
 }
 
 void
-UpstreamDuties::follow_events(const std::string& address,
-                              const EngineLoad& load)
+UpstreamDuties::apply_cache_events(const std::string& address,
+                                   const EngineLoad& load)
 {
     std::uint64_t seen = 0;
     m_state.routing.with([&](Routing& routing) {
@@ -183,12 +183,12 @@
         return;
     const auto engine = m_state.clients.engine(address);
     const auto events = engine->events_after(seen);
-    bool whole = true;
+    bool complete = true;
     m_state.routing.with([&](Routing& routing) {
         if (EngineEntry* entry = routing.engines.find(address))
-            whole = entry->cache.apply(events);
+            complete = entry->cache.apply(events);
     });
-    if (whole)
+    if (complete)
         return;
     // Events were lost: the engine's own listing replaces the belief.
     const auto keys = engine->cached_keys();
--- a/src/serve/upstream_duties.h
+++ b/src/serve/upstream_duties.h
@@ -27,14 +27,14 @@
 
 private:
     Micros list_round();
-    static void take_list(InstanceState& state,
-                          std::span<const ListedInstance> listed,
-                          TimePoint read_at);
-    bool take_list_of_reader();
-    bool take_list_of(const std::string& address);
+    static void apply_list(InstanceState& state,
+                           std::span<const ListedInstance> listed,
+                           TimePoint read_at);
+    bool fetch_list_from_readers();
+    bool fetch_list_from(const std::string& address);
     Micros load_round();
-    void report(const std::string& address);
-    void follow_events(const std::string& address, const EngineLoad& load);
+    void update_load_of(const std::string& address);
+    void apply_cache_events(const std::string& address, const EngineLoad& load);
 
     InstanceState& m_state;
     std::uint64_t m_list_rounds = 0;
