--- a/src/serve/caller_server.cpp
+++ b/src/serve/caller_server.cpp
@@ -24,7 +24,8 @@
 
 constexpr int success = 200;
 constexpr int unavailable = 503;
-/// Threads beside those of admitted requests: for health, metrics, refusals.
+/// Threads in addition to those of admitted requests, for health checks,
+/// metrics and refusals.
 constexpr int spare_threads = 64;
 
 class HttpReply : public CallerReply
@@ -65,7 +66,7 @@
     {
         if (m_disconnected || m_out == nullptr)
             return false;
-        // One write for each event, so that no half of it waits.
+        // A single write for each event, so that no part of it is delayed.
         m_event.assign("data: ");
         m_event += data;
         m_event += "\n\n";
@@ -85,11 +86,11 @@
     Poco::Net::HTTPServerResponse& m_answer;
     const int m_socket;
     std::ostream* m_out = nullptr;
-    bool m_disconnected = false; ///< The caller's connection broke.
+    bool m_disconnected = false; ///< The caller's connection failed.
     std::string m_event;
 };
 
-/// Counts a request for as long as it lives.
+/// Counts a request as running during the lifetime of the object.
 class RunningCount
 {
 public:
@@ -194,14 +195,15 @@
 {
     const RunningCount running(m_running);
     try {
-        // A balancer learns of a planned stop by its next request, too.
+        // Closes the connection, so that a load balancer notices the planned
+        // stop at its next request.
         if (m_state.stopping)
             answer.setKeepAlive(false);
         if (!handle_health(request.getURI(), answer))
             handle_caller(request, answer);
     } catch (const std::exception& failure) {
-        // The caller's connection broke; there is nobody to answer.
-        spdlog::debug("caller connection: {}", failure.what());
+        // The caller's connection failed, so no answer can be sent.
+        spdlog::debug("caller connection failed: {}", failure.what());
     }
 }
 
@@ -227,7 +229,8 @@
         spdlog::info("request={} error={} run_state={} {}", id,
                      error_name(failure.code()),
                      run_state_name(failure.run_state()), failure.what());
-        // A body that was not read to its end makes the connection useless.
+        // After a body that was not read to its end, the connection can't be
+        // used for another request.
         if (failure.code() == ErrorCode::BodyTooLarge ||
             failure.code() == ErrorCode::BadRequest)
             answer.setKeepAlive(false);
--- a/src/serve/caller_server.h
+++ b/src/serve/caller_server.h
@@ -14,19 +14,20 @@
 namespace crosslink
 {
 
-/// The HTTP/1.1 interface towards callers. A caller can reach nothing of the
-/// peers' and operators' interface here.
+/// Serves callers by HTTP/1.1. The paths for peers and operators are not
+/// reachable here.
 class CallerServer
 {
 public:
     CallerServer(InstanceState& state, RequestPath& path);
 
     std::string address() const { return m_server->address(); }
-    /// Takes no new connections.
+    /// Stops accepting new connections.
     void stop_listening() { m_server->stop_listening(); }
     /// Returns the number of requests that are being answered.
     int running() const { return m_running; }
-    /// Returns when the latest request came.
+    /// Returns the arrival time of the latest caller request; health checks and
+    /// /metrics don't count.
     TimePoint latest_request() const { return m_latest.load(); }
 
 private:
--- a/src/serve/caller_watch.h
+++ b/src/serve/caller_watch.h
@@ -13,17 +13,18 @@
 namespace crosslink
 {
 
-/// Notices callers that go away while their request waits for an upstream, so
-/// that the upstream's work is ended at once.
+/// Detects callers that disconnect while their request waits for an upstream,
+/// so that the upstream's work can be canceled at once.
 class CallerWatch
 {
 public:
     CallerWatch();
 
-    /// Watches `socket` until forget(); calls `gone` once, from the duty's
-    /// thread, when its other side closed. Returns the number to forget by.
+    /// Watches `socket` until forget(). Calls `gone` once, from the duty's
+    /// thread, when the caller has closed the connection. Returns the number to
+    /// pass to forget().
     std::uint64_t watch(int socket, std::function<void()> gone);
-    /// Ends a watch; `gone` is not called after this returned.
+    /// Ends a watch. `gone` is not called after this function has returned.
     void forget(std::uint64_t number);
 
 private:
--- a/src/serve/clients.cpp
+++ b/src/serve/clients.cpp
@@ -18,10 +18,11 @@
 namespace
 {
 
-/// Longest wait for the short calls: load reports, lookups, peers.
+/// Timeout of short calls: load reports, lookups and calls to peers.
 constexpr Micros short_call = std::chrono::milliseconds(1000);
 
-/// A client unused for so long belongs to an instance that is gone.
+/// A client that was not used for this time is taken to belong to an instance
+/// that no longer exists.
 constexpr Micros idle_expiry = std::chrono::minutes(10);
 
 template<typename Pool, typename Make>
@@ -33,10 +34,10 @@
     const std::lock_guard lock(mutex);
     if (!pool.contains(address))
         std::erase_if(pool, [now](const auto& item) {
-            return now - item.second.at > idle_expiry;
+            return now - item.second.last_used > idle_expiry;
         });
     auto& entry = pool[address];
-    entry.at = now;
+    entry.last_used = now;
     if (!entry.client)
         entry.client = make();
     return entry.client;
--- a/src/serve/clients.h
+++ b/src/serve/clients.h
@@ -21,9 +21,9 @@
 class Store;
 struct Settings;
 
-/// Makes and keeps one client for each outside party; those that nobody asked
-/// for in ten minutes go when a new one is made. This is the one place
-/// where the adapters are chosen. Safe for many threads.
+/// Creates and caches one client for each remote address. Clients that were not
+/// requested for ten minutes are removed when a new one is created. Only this
+/// class chooses the adapters. Thread-safe.
 class Clients
 {
 public:
@@ -31,7 +31,7 @@
     ~Clients();
 
     Platform& platform() { return *m_platform; }
-    /// Waits longer for an answer; for watches only.
+    /// Returns a client with a longer answer timeout, for watches only.
     Platform& watching_platform() { return *m_watching_platform; }
     std::shared_ptr<Engine> engine(const std::string& address);
     std::shared_ptr<Store> store(const std::string& address);
@@ -39,10 +39,10 @@
     std::shared_ptr<Peer> peer(const std::string& address);
 
 private:
-    /// A client with the time when it was last asked for.
+    /// A client with the time when it was last requested.
     template<typename Client> struct PoolEntry {
         std::shared_ptr<Client> client;
-        TimePoint at{};
+        TimePoint last_used{};
     };
     template<typename Client>
     using Pool = std::map<std::string, PoolEntry<Client>>;
@@ -58,7 +58,7 @@
     Pool<Peer> m_peers;
 };
 
-/// Longest time that a watch waits at the platform.
+/// Longest time that the platform holds a watch request open.
 inline constexpr Micros watch_time = std::chrono::seconds(10);
 
 } // namespace crosslink
--- a/src/serve/configuration_duties.cpp
+++ b/src/serve/configuration_duties.cpp
@@ -23,14 +23,14 @@
 namespace
 {
 
-/// Instances of one availability zone that wait at the platform.
+/// Number of instances of one availability zone that watch the platform.
 constexpr std::size_t watchers_per_zone = 2;
 constexpr Micros retry_watch = std::chrono::milliseconds(500);
 constexpr Micros recheck_period = std::chrono::seconds(1);
 constexpr Micros pull_period = std::chrono::seconds(1);
 
-/// Returns between `span` and one and a half times it, so that instances do
-/// not come in step.
+/// Returns a random time of 1 to 1.5 times `span`, so that the instances do not
+/// send their requests at the same moment.
 Micros
 jittered(Micros span)
 {
@@ -70,7 +70,8 @@
         std::move(*head), state.configuration.current(), read_part));
 }
 
-/// Returns the peers of this zone that may be known at a start.
+/// Returns the peers of this zone that are known at startup: the seeds and the
+/// live members.
 std::vector<std::string>
 zone_peers(InstanceState& state)
 {
@@ -108,8 +109,9 @@
     std::optional<PlatformRecord> record;
     bool watched = false;
     try {
-        // What is in force says nothing of the record's version at the
-        // platform, so the version is read first and then waited above.
+        // The version of the platform's record can't be told from the current
+        // configuration, so the record is read first; the watch then waits for
+        // a version above it.
         record = platform.read(configuration_head_key);
         if (record)
             load_from_platform(m_state, *record);
@@ -124,7 +126,7 @@
                 load_from_platform(m_state, *record);
         }
     } catch (const Error& failure) {
-        spdlog::debug("configuration watch: {}", failure.what());
+        spdlog::debug("watching the configuration failed: {}", failure.what());
         return jittered(retry_watch);
     }
     return watched ? Micros(0) : jittered(m_state.settings.poll_period);
@@ -133,8 +135,9 @@
 void
 ConfigurationDuties::trim_heap()
 {
-    // Building a configuration leaves much free memory behind in the heap, and
-    // its builder may still be at it when the revision is first seen here.
+    // Building a configuration leaves much free memory behind in the heap. The
+    // thread that builds it may still be running in the round that first sees
+    // the revision, so the heap is trimmed once more in the next round.
     const std::uint64_t revision = m_state.configuration.revision();
     if (m_trimmed_revision == revision)
         return;
@@ -165,7 +168,7 @@
             load_from_platform(state, *record);
         replies.platform_answered = true;
     } catch (const Error& failure) {
-        spdlog::info("start: the platform can't be reached: {}",
+        spdlog::info("startup: the platform can't be reached: {}",
                      failure.what());
     }
     for (const std::string& address : zone_peers(state)) {
@@ -176,8 +179,8 @@
             load_from_peer(state, address);
             ++replies.zone_answered;
         } catch (const Error& failure) {
-            // Nobody listens there any more: it serves nothing, so it holds
-            // nothing back.
+            // The connection failed: no process serves at this address, so it
+            // is not counted as a member that did not answer.
             if (failure.run_state() == RunState::NotDispatched)
                 --replies.zone_members;
         }
--- a/src/serve/configuration_duties.h
+++ b/src/serve/configuration_duties.h
@@ -11,9 +11,10 @@
 namespace crosslink
 {
 
-/// Keeps the configuration up to date. Two watchers in each availability zone
-/// wait at the platform; the others are told by peers; a slow poll is the
-/// safety net. So the platform's reads do not grow with the fleet.
+/// Keeps the configuration up to date. Two instances of each availability zone
+/// watch the platform's record; the others learn of a new revision by gossip
+/// and pull it from a peer, with a slow poll of the platform as fallback. Apart
+/// from these polls, reads of the platform do not grow with the fleet.
 class ConfigurationDuties
 {
 public:
@@ -22,8 +23,9 @@
     ConfigurationDuties(const ConfigurationDuties&) = delete;
     ConfigurationDuties& operator=(const ConfigurationDuties&) = delete;
 
-    /// Learns the newest configuration that can be learned at a start. Returns
-    /// whether this instance may serve with it.
+    /// Loads the newest configuration that can be reached at startup, from the
+    /// platform or from peers of the zone. Returns whether this instance may
+    /// serve with it.
     static bool load_at_startup(InstanceState& state);
 
 private:
@@ -32,8 +34,8 @@
     void trim_heap();
 
     InstanceState& m_state;
-    std::uint64_t m_seen_revision = 0;    ///< Of the pull duty.
-    std::uint64_t m_trimmed_revision = 0; ///< Memory was given back after it.
+    std::uint64_t m_seen_revision = 0;    ///< As of the last pull round.
+    std::uint64_t m_trimmed_revision = 0; ///< The heap was trimmed after it.
     Duty m_watch;
     Duty m_pull;
 };
--- a/src/serve/configuration_source.cpp
+++ b/src/serve/configuration_source.cpp
@@ -22,7 +22,7 @@
         auto text = read_part(digest);
         if (!text)
             throw Error(ErrorCode::TemplateInvalid,
-                        "a part can't be had: " + name);
+                        "configuration part is missing: " + name);
         texts.emplace(digest,
                       std::make_shared<const std::string>(std::move(*text)));
     }
--- a/src/serve/configuration_source.h
+++ b/src/serve/configuration_source.h
@@ -12,13 +12,14 @@
 namespace crosslink
 {
 
-/// Where the texts of parts come from: the platform or a peer.
+/// Reads the text of a part from the platform or a peer; returns nothing where
+/// the source doesn't have it.
 using PartReader =
     std::function<std::optional<std::string>(const Digest& digest)>;
 
-/// Returns the configuration that `head` names. Parts that `current` has are
-/// taken from it; the others come from `read_part`. Throws
-/// Error(TemplateInvalid) where one is missing or does not fit its digest.
+/// Returns the configuration described by `head`. Parts that `current` has are
+/// reused; the others are read by `read_part`. Throws Error(TemplateInvalid)
+/// where a part is missing or does not match its digest.
 ConfigurationState::ConfigurationPtr
 load_configuration(ConfigurationHead head,
                    const ConfigurationState::ConfigurationPtr& current,
--- a/src/serve/entry_instance.cpp
+++ b/src/serve/entry_instance.cpp
@@ -91,19 +91,19 @@
 void
 EntryInstance::stop()
 {
-    spdlog::info("a planned stop begins");
+    spdlog::info("planned stop begins");
     m_state.stopping = true;
     m_gossip.announce_leaving();
     try {
         UpstreamDuties::announce(m_state, true);
     } catch (const Error& failure) {
-        spdlog::info("the platform's list could not be told: {}",
+        spdlog::info("announcing the stop in the platform's list failed: {}",
                      failure.what());
     }
     const TimePoint began = monotonic_now();
     const TimePoint last = began + m_state.settings.stop_grace;
-    // Balancers lag: whoever has not learned of the stop yet is still served,
-    // and the port is closed only after a time in which nobody came.
+    // Load balancers notice the stop late. Requests that they still send are
+    // served, and the port is closed only after a time without a new request.
     const auto quiet = [&] {
         const TimePoint latest = std::max(m_callers.latest_request(), began);
         return m_callers.running() == 0 &&
@@ -114,7 +114,7 @@
     m_callers.stop_listening();
     while (m_callers.running() > 0 && monotonic_now() < last)
         std::this_thread::sleep_for(poll_interval);
-    spdlog::info("stopped, {} answers cut", m_callers.running());
+    spdlog::info("stopped; {} answers were cut off", m_callers.running());
 }
 
 } // namespace crosslink
--- a/src/serve/entry_instance.h
+++ b/src/serve/entry_instance.h
@@ -24,7 +24,7 @@
 class EntryInstance
 {
 public:
-    /// Binds both addresses. Throws where one can't be had.
+    /// Binds both addresses. Throws where one of them can't be bound.
     explicit EntryInstance(const Settings& settings);
     ~EntryInstance();
     EntryInstance(const EntryInstance&) = delete;
@@ -33,8 +33,9 @@
     std::string caller_address() const { return m_callers.address(); }
     std::string peer_address() const { return m_peers.address(); }
 
-    /// Serves until `stop_asked` returns true, then stops as planned: not
-    /// ready at once, the others are told, running answers finish.
+    /// Serves until `stop_asked` returns true, then drains: reports not ready
+    /// at once, announces the stop to the peers and the platform, and lets
+    /// running answers finish.
     void serve(const std::function<bool()>& stop_asked);
 
 private:
--- a/src/serve/gossip_duty.cpp
+++ b/src/serve/gossip_duty.cpp
@@ -16,9 +16,9 @@
 namespace
 {
 
-/// Exchanges made at once for news that must spread.
+/// Exchanges made at once for a new configuration revision.
 constexpr int spread_exchanges = 3;
-/// Marks told in one message.
+/// Largest number of leaving marks in one message.
 constexpr std::size_t max_marks = 16;
 constexpr Micros period = std::chrono::seconds(1);
 
@@ -45,7 +45,8 @@
     if (std::exchange(m_spread_revision, revision) != revision)
         for (int i = 1; i < spread_exchanges; ++i)
             exchange();
-    // Up to a quarter is added, so that instances do not come in step.
+    // Up to a quarter of the period is added, so that the instances do not
+    // exchange at the same moment.
     return period + Micros(random_bits() % (period.count() / 4));
 }
 
@@ -123,7 +124,8 @@
         try {
             m_state.clients.peer(member.address)->gossip(message);
         } catch (const Error&) {
-            // It learns it from others, or from the list.
+            // The member learns of the stop from other members or from the
+            // platform's list.
             continue;
         }
     }
--- a/src/serve/gossip_duty.h
+++ b/src/serve/gossip_duty.h
@@ -11,8 +11,8 @@
 namespace crosslink
 {
 
-/// Keeps the membership: one exchange with one other instance a period, and a
-/// few at once where there is news that must spread fast.
+/// Maintains the membership by gossip: one exchange with one other instance in
+/// each period, and several at once for a new configuration revision.
 class GossipDuty
 {
 public:
@@ -21,9 +21,9 @@
     GossipDuty(const GossipDuty&) = delete;
     GossipDuty& operator=(const GossipDuty&) = delete;
 
-    /// Takes in a peer's message and returns the answer to it.
+    /// Applies a peer's message and returns the reply to it.
     GossipMessage answer(const GossipMessage& message);
-    /// Tells every live member of a planned stop.
+    /// Marks this instance as leaving and sends that to every live member.
     void announce_leaving();
 
 private:
@@ -33,7 +33,8 @@
     void apply(const GossipMessage& message);
 
     InstanceState& m_state;
-    std::uint64_t m_spread_revision = 0; ///< Spread at once already.
+    std::uint64_t m_spread_revision =
+        0; ///< Last revision sent in extra exchanges.
     Duty m_duty;
 };
 
--- a/src/serve/instance_state.cpp
+++ b/src/serve/instance_state.cpp
@@ -32,7 +32,8 @@
     });
     take_ends(crashes, calls);
     for (const InterruptedCall& call : calls)
-        spdlog::info("engine={} ended under digest={}", address, call.request);
+        spdlog::info("engine={} ended while running digest={}", address,
+                     call.request);
 }
 
 std::vector<Member>
--- a/src/serve/instance_state.h
+++ b/src/serve/instance_state.h
@@ -31,7 +31,7 @@
 namespace crosslink
 {
 
-/// What routing decides on.
+/// The state that routing decisions are based on.
 struct Routing {
     explicit Routing(const Settings& settings)
         : router(settings.route_policy, settings.route_terms)
@@ -46,8 +46,8 @@
 /// Retry budgets by client account.
 using RetryBudgets = std::map<std::string, RetryBudget, std::less<>>;
 
-/// Everything that the duties and the requests of one entry instance share.
-/// All of it is in memory and may be lost at any time.
+/// The state shared by the duties and the requests of one entry instance. It is
+/// kept in memory only and may be lost at any time.
 struct InstanceState {
     InstanceState(Settings settings_in, Member self);
 
@@ -60,30 +60,34 @@
     Guarded<AnswerCache> answers;
     Guarded<BurnReport> burn;
     Guarded<RetryBudgets> retry_budgets;
-    /// Prompts under which engines ended, as this instance saw it.
+    /// Prompts during which engine processes ended, as observed here.
     Guarded<CrashHistory> crashes;
-    Guarded<UnresolvedFailures> breaks; ///< That wait for a verdict.
-    Nudger unresolved_failure_added;    ///< Reaches the looks at ports.
+    Guarded<UnresolvedFailures> breaks; ///< Not yet known if the engine ended.
+    Nudger unresolved_failure_added;    ///< Wakes EndLooks, which probes ports.
     Metrics metrics;
-    Nudger configuration_pull;         ///< A peer told a newer revision.
-    Nudger gossip_now;                 ///< There is news to spread at once.
-    std::atomic<bool> ready{false};    ///< It may serve.
+    Nudger configuration_pull;         ///< A peer has a newer revision.
+    Nudger gossip_now;                 ///< An update must spread at once.
+    std::atomic<bool> ready{false};    ///< May serve requests.
     std::atomic<bool> stopping{false}; ///< A planned stop has begun.
 
-    /// Takes in that an engine ended: the prompts that broke there count.
+    /// Records that an engine's process ended: each prompt whose call failed
+    /// there is counted as having run during a crash.
     void engine_ended(const std::string& address);
     /// Returns the live members of this instance's zone, the preferred one for
-    /// `duty` first, by rendezvous hashing. All of them agree on it while they
-    /// know the same members; where they do not, more or fewer do the duty.
+    /// `duty` first, by rendezvous hashing. The order is the same at all
+    /// members that know the same members; where their views differ, more or
+    /// fewer of them than intended perform the duty.
     std::vector<Member> preferred_in_zone(std::string_view duty);
-    /// True where this instance is among the first `count` of them.
+    /// Returns whether this instance is among the first `count` members of
+    /// preferred_in_zone().
     bool is_preferred_in_zone(std::string_view duty, std::size_t count);
     /// Returns the peer address of this instance.
     const std::string& self_address() const { return settings.advertise; }
-    /// Returns the part of the accounts' limits that this instance gives out.
+    /// Returns the share of the client accounts' limits that this instance may
+    /// grant: 1 divided by the number of live members.
     double limit_share();
-    /// Puts `candidate` in force where it is newer, and tells the others.
-    /// Returns whether it was newer.
+    /// Makes `candidate` the current configuration if it is newer, and gossips
+    /// its revision at once. Returns whether it was newer.
     bool activate_if_newer(ConfigurationState::ConfigurationPtr candidate);
 };
 
--- a/src/serve/learned_signal.h
+++ b/src/serve/learned_signal.h
@@ -11,13 +11,13 @@
 namespace crosslink
 {
 
-/// Wakes the threads that wait for something to be learned. A look every few
-/// milliseconds by each of them took most of a machine of 0.12 cores, just
-/// when it had to learn.
+/// Wakes the threads that wait until this instance learns of something. If each
+/// of them polled every few milliseconds instead, they would take most of a
+/// machine of 0.12 cores, just when it has to process what they wait for.
 class LearnedSignal
 {
 public:
-    /// Says that more is known than before.
+    /// Makes the waiting threads check their conditions again.
     void notify()
     {
         {
@@ -25,8 +25,8 @@
         }
         m_condition.notify_all();
     }
-    /// Waits until `is_known` returns true, at most for `longest`. It is called
-    /// under the lock of the signal, and may take others.
+    /// Waits until `is_known` returns true, at most for `longest`. `is_known`
+    /// is called with the mutex of this object locked, and may lock others.
     template<typename IsKnown>
     void wait(Micros longest, const IsKnown& is_known)
     {
--- a/src/serve/log_line.cpp
+++ b/src/serve/log_line.cpp
@@ -15,8 +15,8 @@
 namespace
 {
 
-/// Lines a second that are written. One instance serves about 60 requests a
-/// second at the target size, each with up to three lines.
+/// Largest number of lines written in a second. One instance serves about 60
+/// requests a second at the target size, each with up to three lines.
 constexpr std::uint32_t most_lines = 200;
 
 struct LineRate {
@@ -25,8 +25,8 @@
     std::uint64_t dropped = 0;
 };
 
-/// Takes a line from the rate; returns whether it may be written, and the
-/// lines dropped in an earlier second.
+/// Counts a line against the rate limit. Returns whether it may be written, and
+/// the number of lines dropped in an earlier second, to be logged now.
 std::pair<bool, std::uint64_t>
 acquire_line()
 {
--- a/src/serve/log_line.h
+++ b/src/serve/log_line.h
@@ -13,9 +13,9 @@
 namespace crosslink
 {
 
-/// One line of the log as a JSON object: an event with its fields. At most
-/// so many lines a second are written; the rest are counted, and the count
-/// is written as a line of its own. Written when it goes out of scope.
+/// One structured log line: an event with its fields, written as a JSON object
+/// by the destructor. The number of lines written a second is limited; the rest
+/// are dropped, and their number is logged as a line of its own.
 class LogLine
 {
 public:
@@ -32,7 +32,7 @@
     LogLine& field(const char* name, int value);
     LogLine& field(const char* name, double value);
     LogLine& field(const char* name, bool value);
-    /// In milliseconds, under `name` with "_ms" behind it.
+    /// Adds a duration in milliseconds, under `name` with the suffix "_ms".
     LogLine& span(const char* name, Micros value);
 
 private:
--- a/src/serve/logs.cpp
+++ b/src/serve/logs.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-/// Lines that may wait for the writer.
+/// Largest number of lines that wait for the writer thread.
 constexpr std::size_t ring_entries = 4096;
 
 /// Writes each entry as one JSON object. An entry that is an object already
--- a/src/serve/logs.h
+++ b/src/serve/logs.h
@@ -8,12 +8,13 @@
 namespace crosslink
 {
 
-/// Where log lines go.
+/// The stream that log lines are written to.
 enum class LogTarget { StandardError, StandardOutput };
 
-/// Sets up the logs of this process: lines go through a bounded ring to a
-/// thread of their own, and the oldest are dropped where it is full. With
-/// `json`, each line is one JSON object. `level` is a level of spdlog.
+/// Sets up the logging of this process. A dedicated thread writes the lines
+/// from a bounded ring buffer; where that is full, the oldest lines are
+/// dropped. With `json`, each line is one JSON object. `level` is the name of a
+/// spdlog level.
 void set_up_logs(LogTarget target, const std::string& level, bool json);
 
 } // namespace crosslink
--- a/src/serve/metrics.cpp
+++ b/src/serve/metrics.cpp
@@ -5,7 +5,7 @@
 
 #include <crosslink/base/invariants.h>
 
-// g++ takes an accumulator's own members for uninitialized here.
+// g++ wrongly reports members of an accumulator as uninitialized here.
 #pragma GCC diagnostic push
 #if defined(__GNUC__) && !defined(__clang__)
 #pragma GCC diagnostic ignored "-Wmaybe-uninitialized"
@@ -28,7 +28,7 @@
 namespace acc = boost::accumulators;
 
 constexpr std::array quantiles{0.5, 0.95, 0.99};
-/// Points the estimator keeps; the quantiles told lie among them.
+/// Probabilities that the estimator tracks; they include all of `quantiles`.
 const std::vector<double> estimator_points{0.25, 0.5,  0.75, 0.9,
                                            0.95, 0.99, 0.999};
 
--- a/src/serve/metrics.h
+++ b/src/serve/metrics.h
@@ -14,8 +14,8 @@
 namespace crosslink
 {
 
-/// A distribution of times with its quantiles, by Boost.Accumulators. Safe for
-/// many threads.
+/// A distribution of durations with its quantiles, estimated by
+/// Boost.Accumulators. Thread-safe.
 class TimeSummary
 {
 public:
@@ -23,7 +23,8 @@
     ~TimeSummary();
 
     void add(Micros span);
-    /// Returns Prometheus text of a summary in seconds.
+    /// Returns a summary in seconds in the Prometheus text format. The metric
+    /// is called "crosslink_" and `name`.
     std::string text(const std::string& name, const std::string& help) const;
 
 private:
@@ -65,7 +66,7 @@
     TimeSummary decision; ///< From the request's arrival to its dispatch.
     TimeSummary claim;
 
-    /// Returns all of them as Prometheus text (version 0.0.4).
+    /// Returns all metrics in the Prometheus text format (version 0.0.4).
     std::string text() const;
 };
 
--- a/src/serve/peer_server.cpp
+++ b/src/serve/peer_server.cpp
@@ -32,7 +32,8 @@
     return result;
 }
 
-/// Compares in a time that does not depend on where the texts differ.
+/// Compares in a time that does not depend on the position of the first
+/// difference.
 bool
 constant_time_equal(const std::string& one, const std::string& other)
 {
@@ -93,22 +94,22 @@
     });
     m_rpc->add(method::configuration_head, [this](const Json::Value&) {
         Json::Value result(Json::objectValue);
-        if (const auto held = m_state.configuration.current())
-            result["head"] = held->head().to_json();
+        if (const auto current = m_state.configuration.current())
+            result["head"] = current->head().to_json();
         return result;
     });
-    m_rpc->add(method::configuration_part,
-               [this](const Json::Value& parameters) {
-                   const Digest digest =
-                       Digest::from_hex(json_string(parameters, "digest"));
-                   Json::Value result;
-                   const auto held = m_state.configuration.current();
-                   const bool found = held && held->texts().contains(digest);
-                   result["found"] = found;
-                   if (found)
-                       result["text"] = *held->texts().at(digest);
-                   return result;
-               });
+    m_rpc->add(
+        method::configuration_part, [this](const Json::Value& parameters) {
+            const Digest digest =
+                Digest::from_hex(json_string(parameters, "digest"));
+            Json::Value result;
+            const auto current = m_state.configuration.current();
+            const bool found = current && current->texts().contains(digest);
+            result["found"] = found;
+            if (found)
+                result["text"] = *current->texts().at(digest);
+            return result;
+        });
 }
 
 void
--- a/src/serve/peer_server.h
+++ b/src/serve/peer_server.h
@@ -17,12 +17,13 @@
 
 class RpcServer;
 
-/// The interface towards peers (JSON-RPC 2.0) and operators (/status, /report).
-/// Every request must carry the fleet's proof.
+/// Serves peers (JSON-RPC 2.0) and operators (/status, /report). Every request
+/// must carry the proof of knowing the fleet's secret.
 class PeerServer
 {
 public:
-    /// Binds and answers at once. All arguments must outlive it.
+    /// Binds the peer address and starts to serve. All arguments must outlive
+    /// this object.
     PeerServer(InstanceState& state, ClaimDesk& desk, GossipDuty& gossip,
                AdmissionGate& gate);
     ~PeerServer();
--- a/src/serve/settings.h
+++ b/src/serve/settings.h
@@ -18,22 +18,23 @@
 namespace crosslink
 {
 
-/// Everything an entry instance is told at its start.
+/// The settings of an entry instance, fixed at its start.
 struct Settings {
     std::string bind;               ///< Address for callers.
     std::string peer_bind;          ///< Address for peers and operators.
-    std::string advertise;          ///< Peer address that others use.
+    std::string advertise;          ///< Peer address that peers connect to.
     std::string zone;               ///< Availability zone.
     std::string platform;           ///< Address of the platform's service.
     std::string fleet_secret;       ///< Read from the secret file.
-    std::vector<std::string> seeds; ///< Peer addresses to begin with.
+    std::vector<std::string> seeds; ///< Peer addresses known at startup.
     Micros platform_timeout{0};
     Micros upstream_timeout{0}; ///< Longest silence of an upstream.
     Micros connect_timeout{0};
     Micros list_period{0};
     Micros load_period{0};
     Micros poll_period{0}; ///< Slow poll for the configuration.
-    Micros stop_quiet{0};  ///< At a stop: time without a new request.
+    Micros stop_quiet{0};  ///< Time without a request before a stop
+                           ///< closes the port.
     Micros stop_grace{0};  ///< Longest wait for running answers at a stop.
     std::uint64_t most_body_bytes = 0;
     std::uint32_t most_running = 0;
@@ -52,8 +53,8 @@
     const char* flag; ///< Like "--bind"; the variable is CROSSLINK_BIND.
     const char* description;
     const char* fallback; ///< Default text.
-    const char* range;    ///< What the value must be, for people.
-    /// Puts `text` into `settings`; returns false where it is out of range.
+    const char* range;    ///< Valid values, as shown in help and errors.
+    /// Parses `text` into `settings`. Returns false where it is invalid.
     bool (*put)(Settings& settings, const std::string& text);
 };
 
@@ -64,10 +65,11 @@
 class SettingTexts
 {
 public:
-    /// Adds one option for each setting to `verb`, with its variable.
+    /// Adds one option for each setting to the subcommand `verb`, with its
+    /// environment variable.
     explicit SettingTexts(CLI::App& verb);
-    /// Checks all of them. Throws Error(SettingsInvalid) that names every
-    /// mistake with its flag, value and range.
+    /// Parses and checks all settings. Throws Error(SettingsInvalid) that lists
+    /// every invalid setting with its flag, value and valid range.
     Settings checked() const;
 
 private:
--- a/src/serve/status_report.h
+++ b/src/serve/status_report.h
@@ -12,9 +12,10 @@
 
 struct InstanceState;
 
-/// Returns the fleet as this instance sees it, for `crosslink status`.
+/// Returns the state of the fleet as known to this instance, for
+/// `crosslink status`.
 Json::Value status_report(InstanceState& state);
-/// Returns a status as text for a terminal.
+/// Formats a status report as text for a terminal.
 std::string status_text(const Json::Value& status);
 
 } // namespace crosslink
--- a/src/serve/upstream_directory.cpp
+++ b/src/serve/upstream_directory.cpp
@@ -16,7 +16,7 @@
 constexpr Micros first_exclusion = std::chrono::milliseconds(500);
 constexpr std::uint32_t max_doublings = 5;
 
-/// Two lists of the same rows have the same digest, wherever they were read.
+/// Equal lists have the same digest at every instance.
 Digest
 digest_of(std::span<const ListedInstance> upstreams)
 {
@@ -93,9 +93,9 @@
     std::vector<std::string> same_zone;
     std::vector<std::string> other_zones;
     for (const ListedInstance& instance : m_listed) {
-        const bool fits =
+        const bool matches =
             instance.kind == ListedKind::Plain && instance.service == service;
-        if (!fits || !usable(instance, now))
+        if (!matches || !usable(instance, now))
             continue;
         (instance.zone == zone ? same_zone : other_zones)
             .push_back(instance.address);
@@ -125,7 +125,7 @@
     const auto found = m_failure_states.find(address);
     if (found == m_failure_states.end())
         return;
-    // The answer may be to a call from before the backoff.
+    // The successful call may have been sent before the backoff was asked for.
     const TimePoint backoff_until = found->second.backoff_until;
     found->second = {};
     found->second.backoff_until = backoff_until;
@@ -143,9 +143,9 @@
 {
     std::optional<TimePoint> earliest;
     for (const ListedInstance& instance : m_listed) {
-        const bool fits = instance.kind == ListedKind::Plain &&
-                          instance.service == service && !instance.leaving;
-        if (!fits)
+        const bool matches = instance.kind == ListedKind::Plain &&
+                             instance.service == service && !instance.leaving;
+        if (!matches)
             continue;
         const auto found = m_failure_states.find(instance.address);
         const TimePoint free = found == m_failure_states.end()
--- a/src/serve/upstream_directory.h
+++ b/src/serve/upstream_directory.h
@@ -19,17 +19,18 @@
 namespace crosslink
 {
 
-/// The stores and plain services of the platform's list, with what this
-/// instance learned of them: leaving ones get no new work, and one that fails
-/// is kept out for a time that doubles.
+/// The stores and plain services of the platform's list, with the failures and
+/// backoffs that this instance observed. An upstream that is leaving gets no
+/// new work. One that fails is excluded for a time that doubles with each
+/// failure in a row, up to a maximum.
 class UpstreamDirectory
 {
 public:
-    /// Takes over the upstreams of a list that was read at `read_at`.
+    /// Replaces the upstreams by those of a list that was read at `read_at`.
     void sync(std::span<const ListedInstance> listed, TimePoint read_at);
-    /// Takes note that the list in place was still right at `read_at`.
+    /// Records that the current list was still valid at `read_at`.
     void confirm(TimePoint read_at);
-    /// Returns the list in place.
+    /// Returns the current list with its digest and its age at `now`.
     UpstreamList list(TimePoint now) const;
     /// Returns the stores to use for blocks whose first key is `key`, the
     /// preferred one first. The order is the same at every instance of every
@@ -37,18 +38,22 @@
     std::vector<std::string> stores_for(std::string_view key,
                                         TimePoint now) const;
     /// Returns the instances of a plain service that take work, those of
-    /// `zone` first, in an order turned by `random`.
+    /// `zone` first. Within and outside of the zone, the order is rotated by
+    /// `random`.
     std::vector<std::string> plain_for(std::string_view service,
                                        std::string_view zone,
                                        std::uint64_t random,
                                        TimePoint now) const;
+    /// Excludes an upstream after a failed call.
     void failed(std::string_view address, TimePoint now);
+    /// Ends the exclusion of an upstream. A backoff that it asked for remains.
     void succeeded(std::string_view address);
-    /// Takes note that an upstream wants nothing from this instance before
-    /// `until`. What it asked for earlier stands.
+    /// Records that an upstream asks this instance to send nothing before
+    /// `until`. A later time that it asked for earlier remains.
     void backs_off(std::string_view address, TimePoint until);
-    /// Returns when an instance of a plain service takes work again, as far as
-    /// is known; nothing where none is listed that stays.
+    /// Returns the earliest time at which an instance of a plain service takes
+    /// work again, by the exclusions and backoffs known here; nothing where all
+    /// listed instances are leaving, or none is listed.
     std::optional<TimePoint> plain_free_at(std::string_view service) const;
 
     const std::vector<ListedInstance>& listed() const { return m_listed; }
--- a/src/serve/upstream_directory_test.cpp
+++ b/src/serve/upstream_directory_test.cpp
@@ -43,23 +43,23 @@
 
 } // namespace
 
-TEST_CASE("an upstream gets nothing in the backoff that it asked for")
+TEST_CASE("an upstream gets no work during the backoff that it asked for")
 {
     UpstreamDirectory upstreams = directory();
     upstreams.backs_off("a", at(3000));
     upstreams.backs_off("a", at(1000));
     upstreams.failed("a", at(10));
     CHECK(usable(upstreams, 2999) == std::vector<std::string>{"b"});
-    // A call from before the backoff ends well.
+    // A call that was sent before the backoff succeeds.
     upstreams.succeeded("a");
     CHECK(usable(upstreams, 2999) == std::vector<std::string>{"b"});
     CHECK(usable(upstreams, 3000).size() == 2);
-    // The list is read anew meanwhile.
+    // A new read of the list keeps the backoff.
     upstreams.sync(std::vector<ListedInstance>(upstreams.listed()), at(20));
     CHECK(usable(upstreams, 2999).size() == 1);
 }
 
-TEST_CASE("where all upstreams back off, it is known when one takes work again")
+TEST_CASE("if all upstreams back off, the earliest end of a backoff is known")
 {
     UpstreamDirectory upstreams = directory();
     CHECK(upstreams.plain_free_at("s") == TimePoint{});
--- a/src/serve/upstream_duties.cpp
+++ b/src/serve/upstream_duties.cpp
@@ -18,15 +18,16 @@
 namespace
 {
 
-/// Engines of other zones are asked for their load only every so many rounds.
+/// Period of load requests to engines of other zones, in load rounds.
 constexpr std::uint64_t other_zone_rounds = 5;
-/// This instance is announced every so many rounds.
+/// Period of the announcements of this instance, in list rounds.
 constexpr std::uint64_t announce_rounds = 2;
-/// Instances of one zone that read the platform's list; the others ask them.
+/// Number of instances of one zone that read the platform's list; the others
+/// fetch it from them.
 constexpr std::size_t list_readers = 2;
 constexpr std::string_view list_duty = "upstream-list";
-/// A reader whose list is older than this has lost the platform; another one
-/// may still reach it.
+/// A reader whose list is older than this can't reach the platform and is
+/// passed over, since another reader may still reach it.
 constexpr Micros max_list_age = std::chrono::seconds(10);
 
 std::vector<ListedEngine>
@@ -84,7 +85,8 @@
             if (fetch_list_from(reader.address))
                 return true;
         } catch (const Error& failure) {
-            spdlog::debug("list of {}: {}", reader.address, failure.what());
+            spdlog::debug("fetching the upstream list from {} failed: {}",
+                          reader.address, failure.what());
         }
     }
     return false;
@@ -133,8 +135,9 @@
         if (reads || !fetch_list_from_readers())
             read_list(m_state);
     } catch (const Error& failure) {
-        // The last list stays: what it names is served as long as it answers.
-        spdlog::debug("list: {}", failure.what());
+        // The last list stays in use: its upstreams get work as long as they
+        // answer.
+        spdlog::debug("upstream list round failed: {}", failure.what());
     }
     return m_state.settings.list_period;
 }
@@ -164,7 +167,8 @@
         });
         apply_cache_events(address, load);
     } catch (const Error& failure) {
-        spdlog::debug("load of {}: {}", address, failure.what());
+        spdlog::debug("updating the load of {} failed: {}", address,
+                      failure.what());
         m_state.routing.with(
             [&](Routing& routing) { routing.engines.lost(address); });
     }
@@ -190,7 +194,8 @@
     });
     if (complete)
         return;
-    // Events were lost: the engine's own listing replaces the belief.
+    // Events were lost: the engine's full list of cached keys replaces the
+    // state that was built from events.
     const auto keys = engine->cached_keys();
     m_state.routing.with([&](Routing& routing) {
         if (EngineEntry* entry = routing.engines.find(address))
--- a/src/serve/upstream_duties.h
+++ b/src/serve/upstream_duties.h
@@ -12,17 +12,20 @@
 namespace crosslink
 {
 
-/// Keeps what is known of the upstreams: the platform's lagging list, load
-/// reports and cache events of the engines. Two instances of a zone read the
-/// list; the others ask those for what changed.
+/// Keeps the state of the upstreams up to date: the platform's list, which lags
+/// behind, and the load reports and cache events of the engines. Two instances
+/// of each availability zone read the list from the platform; the others fetch
+/// it from those two if it changed.
 class UpstreamDuties
 {
 public:
     explicit UpstreamDuties(InstanceState& state);
 
-    /// Reads the list once. Throws Error where the platform can't be reached.
+    /// Reads the list from the platform once. Throws Error where the platform
+    /// can't be reached.
     static void read_list(InstanceState& state);
-    /// Announces this instance in the list.
+    /// Writes this instance into the platform's list; `leaving` marks it as
+    /// about to stop.
     static void announce(InstanceState& state, bool leaving);
 
 private:
