--- a/src/serve/gossip_duty.h
+++ b/src/serve/gossip_duty.h
@@ -33,8 +33,8 @@
     void apply(const GossipMessage& message);
 
     InstanceState& m_state;
-    std::uint64_t m_spread_revision =
-        0; ///< Last revision sent in extra exchanges.
+    /// Last revision that was sent in extra exchanges.
+    std::uint64_t m_spread_revision = 0;
     Duty m_duty;
 };
 
