--- a/src/serve/upstream_directory_test.cpp
+++ b/src/serve/upstream_directory_test.cpp
@@ -59,7 +59,7 @@
     CHECK(usable(upstreams, 2999).size() == 1);
 }
 
-TEST_CASE("if all upstreams back off, the earliest end of a backoff is known")
+TEST_CASE("if all upstreams back off, it is known when one is free again")
 {
     UpstreamDirectory upstreams = directory();
     CHECK(upstreams.plain_free_at("s") == TimePoint{});
