--- a/src/serve/caller_server.cpp
+++ b/src/serve/caller_server.cpp
@@ -24,7 +24,8 @@
 
 constexpr int success = 200;
 constexpr int unavailable = 503;
-/// Threads beside those of admitted requests: for health, metrics, refusals.
+/// Threads in addition to those of admitted requests, for health checks,
+/// metrics and refusals.
 constexpr int spare_threads = 64;
 
 class HttpReply : public CallerReply
@@ -40,12 +41,13 @@
     {
     }
 
-    void answer(const PlainAnswer& whole,
+    void answer(const PlainAnswer& content,
                 const std::vector<HeaderField>& headers) override
     {
         for (const HeaderField& field : headers)
             m_answer.set(field.name, field.value);
-        send_answer(m_answer, whole.status, whole.content_type, whole.body);
+        send_answer(m_answer, content.status, content.content_type,
+                    content.body);
     }
 
     void begin_stream() override
@@ -56,15 +58,15 @@
         try {
             m_out = &m_answer.send();
         } catch (const Poco::Exception&) {
-            m_gone = true;
+            m_disconnected = true;
         }
     }
 
     bool send_event(std::string_view data) override
     {
-        if (m_gone || m_out == nullptr)
+        if (m_disconnected || m_out == nullptr)
             return false;
-        // One write for each event, so that no half of it waits.
+        // A single write for each event, so that no part of it is delayed.
         m_event.assign("data: ");
         m_event += data;
         m_event += "\n\n";
@@ -74,25 +76,31 @@
         return m_out->good();
     }
 
-    bool streaming() const override { return m_out != nullptr || m_gone; }
+    bool streaming() const override
+    {
+        return m_out != nullptr || m_disconnected;
+    }
     int socket() const override { return m_socket; }
 
 private:
     Poco::Net::HTTPServerResponse& m_answer;
     const int m_socket;
     std::ostream* m_out = nullptr;
-    bool m_gone = false; ///< The caller's connection broke.
+    bool m_disconnected = false; ///< The caller's connection failed.
     std::string m_event;
 };
 
-/// Counts a request for as long as it lives.
-class Running
+/// Counts a request as running during the lifetime of the object.
+class RunningCount
 {
 public:
-    explicit Running(std::atomic<int>& count) : m_count(count) { ++m_count; }
-    ~Running() { --m_count; }
-    Running(const Running&) = delete;
-    Running& operator=(const Running&) = delete;
+    explicit RunningCount(std::atomic<int>& count) : m_count(count)
+    {
+        ++m_count;
+    }
+    ~RunningCount() { --m_count; }
+    RunningCount(const RunningCount&) = delete;
+    RunningCount& operator=(const RunningCount&) = delete;
 
 private:
     std::atomic<int>& m_count;
@@ -185,16 +193,17 @@
 CallerServer::handle(Poco::Net::HTTPServerRequest& request,
                      Poco::Net::HTTPServerResponse& answer)
 {
-    const Running running(m_running);
+    const RunningCount running(m_running);
     try {
-        // A balancer learns of a planned stop by its next request, too.
+        // Closes the connection, so that a load balancer notices the planned
+        // stop at its next request.
         if (m_state.stopping)
             answer.setKeepAlive(false);
         if (!handle_health(request.getURI(), answer))
             handle_caller(request, answer);
     } catch (const std::exception& failure) {
-        // The caller's connection broke; there is nobody to answer.
-        spdlog::debug("caller connection: {}", failure.what());
+        // The caller's connection failed, so no answer can be sent.
+        spdlog::debug("caller connection failed: {}", failure.what());
     }
 }
 
@@ -220,7 +229,8 @@
         spdlog::info("request={} error={} run_state={} {}", id,
                      error_name(failure.code()),
                      run_state_name(failure.run_state()), failure.what());
-        // A body that was not read to its end makes the connection useless.
+        // After a body that was not read to its end, the connection can't be
+        // used for another request.
         if (failure.code() == ErrorCode::BodyTooLarge ||
             failure.code() == ErrorCode::BadRequest)
             answer.setKeepAlive(false);
--- a/src/serve/configuration_duties.cpp
+++ b/src/serve/configuration_duties.cpp
@@ -23,14 +23,14 @@
 namespace
 {
 
-/// Instances of one availability zone that wait at the platform.
+/// Number of instances of one availability zone that watch the platform.
 constexpr std::size_t watchers_per_zone = 2;
 constexpr Micros retry_watch = std::chrono::milliseconds(500);
-constexpr Micros look_again = std::chrono::seconds(1);
+constexpr Micros recheck_period = std::chrono::seconds(1);
 constexpr Micros pull_period = std::chrono::seconds(1);
 
-/// Returns between `span` and one and a half times it, so that instances do
-/// not come in step.
+/// Returns a random time of 1 to 1.5 times `span`, so that the instances do not
+/// send their requests at the same moment.
 Micros
 jittered(Micros span)
 {
@@ -39,7 +39,7 @@
 }
 
 bool
-take_from_platform(InstanceState& state, const PlatformRecord& record)
+load_from_platform(InstanceState& state, const PlatformRecord& record)
 {
     ConfigurationHead head = ConfigurationHead::from_json(record.value);
     if (head.revision <= state.configuration.revision())
@@ -52,12 +52,12 @@
             return std::nullopt;
         return std::move(part->value);
     };
-    return state.put_in_force(load_configuration(
+    return state.activate_if_newer(load_configuration(
         std::move(head), state.configuration.current(), read_part));
 }
 
 bool
-take_from_peer(InstanceState& state, const std::string& address)
+load_from_peer(InstanceState& state, const std::string& address)
 {
     const auto peer = state.clients.peer(address);
     auto head = peer->configuration_head();
@@ -66,11 +66,12 @@
     const auto read_part = [&peer](const Digest& digest) {
         return peer->configuration_part(digest);
     };
-    return state.put_in_force(load_configuration(
+    return state.activate_if_newer(load_configuration(
         std::move(*head), state.configuration.current(), read_part));
 }
 
-/// Returns the peers of this zone that may be known at a start.
+/// Returns the peers of this zone that are known at startup: the seeds and the
+/// live members.
 std::vector<std::string>
 zone_peers(InstanceState& state)
 {
@@ -108,11 +109,12 @@
     std::optional<PlatformRecord> record;
     bool watched = false;
     try {
-        // What is in force says nothing of the record's version at the
-        // platform, so the version is read first and then waited above.
+        // The version of the platform's record can't be told from the current
+        // configuration, so the record is read first; the watch then waits for
+        // a version above it.
         record = platform.read(configuration_head_key);
         if (record)
-            take_from_platform(m_state, *record);
+            load_from_platform(m_state, *record);
         watched = !m_state.stopping &&
                   m_state.is_preferred_in_zone("configuration-watch",
                                                watchers_per_zone);
@@ -121,20 +123,21 @@
             record = m_state.clients.watching_platform().watch(
                 configuration_head_key, seen, watch_time);
             if (record)
-                take_from_platform(m_state, *record);
+                load_from_platform(m_state, *record);
         }
     } catch (const Error& failure) {
-        spdlog::debug("configuration watch: {}", failure.what());
+        spdlog::debug("watching the configuration failed: {}", failure.what());
         return jittered(retry_watch);
     }
     return watched ? Micros(0) : jittered(m_state.settings.poll_period);
 }
 
 void
-ConfigurationDuties::give_back_memory()
+ConfigurationDuties::trim_heap()
 {
-    // Building a configuration leaves much free memory behind in the heap, and
-    // its builder may still be at it when the revision is first seen here.
+    // Building a configuration leaves much free memory behind in the heap. The
+    // thread that builds it may still be running in the round that first sees
+    // the revision, so the heap is trimmed once more in the next round.
     const std::uint64_t revision = m_state.configuration.revision();
     if (m_trimmed_revision == revision)
         return;
@@ -145,44 +148,44 @@
 Micros
 ConfigurationDuties::pull_round()
 {
-    give_back_memory();
+    trim_heap();
     const auto newest = m_state.members.with(
         [](MemberTable& table) { return table.newest_revision(); });
     if (!newest || newest->revision <= m_state.configuration.revision())
         return pull_period;
-    take_from_peer(m_state, newest->address);
-    return look_again;
+    load_from_peer(m_state, newest->address);
+    return recheck_period;
 }
 
 bool
-ConfigurationDuties::learn_at_start(InstanceState& state)
+ConfigurationDuties::load_at_startup(InstanceState& state)
 {
-    StartupReplies evidence;
+    StartupReplies replies;
     try {
         const auto record =
             state.clients.platform().read(configuration_head_key);
         if (record)
-            take_from_platform(state, *record);
-        evidence.platform_answered = true;
+            load_from_platform(state, *record);
+        replies.platform_answered = true;
     } catch (const Error& failure) {
-        spdlog::info("start: the platform can't be reached: {}",
+        spdlog::info("startup: the platform can't be reached: {}",
                      failure.what());
     }
     for (const std::string& address : zone_peers(state)) {
-        if (evidence.platform_answered && state.configuration.revision() > 0)
+        if (replies.platform_answered && state.configuration.revision() > 0)
             break;
-        ++evidence.zone_members;
+        ++replies.zone_members;
         try {
-            take_from_peer(state, address);
-            ++evidence.zone_answered;
+            load_from_peer(state, address);
+            ++replies.zone_answered;
         } catch (const Error& failure) {
-            // Nobody listens there any more: it serves nothing, so it holds
-            // nothing back.
+            // The connection failed: no process serves at this address, so it
+            // is not counted as a member that did not answer.
             if (failure.run_state() == RunState::NotDispatched)
-                --evidence.zone_members;
+                --replies.zone_members;
         }
     }
-    return may_start_serving(evidence, state.configuration.revision());
+    return may_start_serving(replies, state.configuration.revision());
 }
 
 } // namespace crosslink
--- a/src/serve/gossip_duty.cpp
+++ b/src/serve/gossip_duty.cpp
@@ -16,10 +16,10 @@
 namespace
 {
 
-/// Exchanges made at once for news that must spread.
+/// Exchanges made at once for a new configuration revision.
 constexpr int spread_exchanges = 3;
-/// Marks told in one message.
-constexpr std::size_t most_marks = 16;
+/// Largest number of leaving marks in one message.
+constexpr std::size_t max_marks = 16;
 constexpr Micros period = std::chrono::seconds(1);
 
 } // namespace
@@ -45,7 +45,8 @@
     if (std::exchange(m_spread_revision, revision) != revision)
         for (int i = 1; i < spread_exchanges; ++i)
             exchange();
-    // Up to a quarter is added, so that instances do not come in step.
+    // Up to a quarter of the period is added, so that the instances do not
+    // exchange at the same moment.
     return period + Micros(random_bits() % (period.count() / 4));
 }
 
@@ -58,7 +59,7 @@
         return routing.engines.marks(monotonic_now());
     });
     for (const auto& [upstream, left] : marks) {
-        if (message.marks.size() == most_marks)
+        if (message.marks.size() == max_marks)
             break;
         message.marks.push_back(
             {upstream, static_cast<std::uint64_t>(left.count()) / 1000});
@@ -76,7 +77,7 @@
     const GossipMessage message = message_to(*target);
     ++m_state.metrics.gossip_rounds;
     try {
-        take(m_state.clients.peer(*target)->gossip(message));
+        apply(m_state.clients.peer(*target)->gossip(message));
     } catch (const Error&) {
         m_state.members.with([&target](MemberTable& table) {
             table.ping_failed(*target, monotonic_now());
@@ -85,7 +86,7 @@
 }
 
 void
-GossipDuty::take(const GossipMessage& message)
+GossipDuty::apply(const GossipMessage& message)
 {
     const auto newest = m_state.members.with([&](MemberTable& table) {
         table.receive(message, monotonic_now());
@@ -105,12 +106,12 @@
 GossipMessage
 GossipDuty::answer(const GossipMessage& message)
 {
-    take(message);
+    apply(message);
     return message_to(message.sender.address);
 }
 
 void
-GossipDuty::tell_leaving()
+GossipDuty::announce_leaving()
 {
     const auto members = m_state.members.with([](MemberTable& table) {
         table.leave();
@@ -123,7 +124,8 @@
         try {
             m_state.clients.peer(member.address)->gossip(message);
         } catch (const Error&) {
-            // It learns it from others, or from the list.
+            // The member learns of the stop from other members or from the
+            // platform's list.
             continue;
         }
     }
--- a/src/serve/instance_state.cpp
+++ b/src/serve/instance_state.cpp
@@ -32,7 +32,8 @@
     });
     record_process_ends(crashes, calls);
     for (const InterruptedCall& call : calls)
-        spdlog::info("engine={} ended under digest={}", address, call.request);
+        spdlog::info("engine={} ended while running digest={}", address,
+                     call.request);
 }
 
 std::vector<Member>
@@ -68,7 +69,7 @@
 }
 
 bool
-InstanceState::put_in_force(ConfigurationState::ConfigurationPtr candidate)
+InstanceState::activate_if_newer(ConfigurationState::ConfigurationPtr candidate)
 {
     const std::uint64_t revision = candidate->revision();
     if (!configuration.set_if_newer(std::move(candidate)))
--- a/src/serve/learned_signal.h
+++ b/src/serve/learned_signal.h
@@ -11,34 +11,34 @@
 namespace crosslink
 {
 
-/// Wakes the threads that wait for something to be learned. A look every few
-/// milliseconds by each of them took most of a machine of 0.12 cores, just
-/// when it had to learn.
+/// Wakes the threads that wait until this instance learns of something. If each
+/// of them polled every few milliseconds instead, they would take most of a
+/// machine of 0.12 cores, just when it has to process what they wait for.
 class LearnedSignal
 {
 public:
-    /// Says that more is known than before.
+    /// Makes the waiting threads check their conditions again.
     void notify()
     {
         {
             const std::lock_guard lock(m_mutex);
         }
-        m_learned.notify_all();
+        m_condition.notify_all();
     }
-    /// Waits until `is_known` returns true, at most for `longest`. It is called
-    /// under the lock of the signal, and may take others.
+    /// Waits until `is_known` returns true, at most for `longest`. `is_known`
+    /// is called with the mutex of this object locked, and may lock others.
     template<typename IsKnown>
     void wait(Micros longest, const IsKnown& is_known)
     {
         if (longest.count() <= 0)
             return;
         std::unique_lock lock(m_mutex);
-        m_learned.wait_for(lock, longest, is_known);
+        m_condition.wait_for(lock, longest, is_known);
     }
 
 private:
     std::mutex m_mutex;
-    std::condition_variable m_learned;
+    std::condition_variable m_condition;
 };
 
 } // namespace crosslink
