--- a/src/include/crosslink/ports/request_book.h
+++ b/src/include/crosslink/ports/blocked_request_registry.h
@@ -14,10 +14,10 @@
 /// all instances, and tells those that start. Both calls block, and throw Error
 /// with PlatformUnavailable, PlatformThrottled or PlatformOutcomeUnknown; they
 /// may be called again then.
-class RequestBook
+class BlockedRequestRegistry
 {
 public:
-    virtual ~RequestBook() = default;
+    virtual ~BlockedRequestRegistry() = default;
 
     /// Records that the request with this digest is blocked. The record goes by
     /// itself after `span`, or the longest lease of the platform.
--- a/src/serve/coordinator/block_duty.cpp
+++ b/src/serve/coordinator/block_duty.cpp
@@ -7,7 +7,7 @@
 #include <serve/log_line.h>
 
 #include <crosslink/base/error.h>
-#include <crosslink/ports/request_book.h>
+#include <crosslink/ports/blocked_request_registry.h>
 
 #include <vector>
 
--- a/src/serve/forward/forward_ports.h
+++ b/src/serve/forward/forward_ports.h
@@ -10,7 +10,7 @@
 class DutyRegistry;
 class FleetFeed;
 class KeptStores;
-class RequestBook;
+class BlockedRequestRegistry;
 class RolloutBook;
 class RunnerOrders;
 
@@ -21,7 +21,7 @@
     FleetFeed& feed;
     DutyRegistry& duties;
     RolloutBook& rollouts;
-    RequestBook& blocked;
+    BlockedRequestRegistry& blocked;
     RunnerOrders& orders;
     KeptStores& stores;
 };
