--- a/src/include/crosslink/ports/rollout_book.h
+++ b/src/include/crosslink/ports/rollout_registry.h
@@ -13,10 +13,10 @@
 
 /// The record of named weights at the platform. It outlasts all instances, and
 /// tells those that start how long replaced weights may still be used.
-class RolloutBook
+class RolloutRegistry
 {
 public:
-    virtual ~RolloutBook() = default;
+    virtual ~RolloutRegistry() = default;
 
     /// Records `version` of `model`, with a mark that goes by itself after
     /// `left` at the latest, both at once; without one where that is too short.
--- a/src/serve/coordinator/rollout_duty.cpp
+++ b/src/serve/coordinator/rollout_duty.cpp
@@ -7,7 +7,7 @@
 #include <serve/log_line.h>
 
 #include <crosslink/base/error.h>
-#include <crosslink/ports/rollout_book.h>
+#include <crosslink/ports/rollout_registry.h>
 
 #include <algorithm>
 
--- a/src/serve/forward/forward_ports.h
+++ b/src/serve/forward/forward_ports.h
@@ -11,7 +11,7 @@
 class FleetFeed;
 class KeptStores;
 class BlockedRequestRegistry;
-class RolloutBook;
+class RolloutRegistry;
 class RunnerOrders;
 
 /// The outside parties of an instance that forwards calls. All of them
@@ -20,7 +20,7 @@
     const CallWire& wire;
     FleetFeed& feed;
     DutyRegistry& duties;
-    RolloutBook& rollouts;
+    RolloutRegistry& rollouts;
     BlockedRequestRegistry& blocked;
     RunnerOrders& orders;
     KeptStores& stores;
