--- a/src/include/crosslink/ports/fleet_feed.h
+++ b/src/include/crosslink/ports/fleet_feed.h
@@ -19,7 +19,7 @@
 {
 
 /// The operator's configuration in force.
-struct MapNamed {
+struct ServiceMapChanged {
     std::shared_ptr<const ServiceMap> map;
 };
 
@@ -80,9 +80,9 @@
 
 /// One change of what the platform tells the fleet.
 using FleetChange =
-    std::variant<MapNamed, WeightsNamed, WeightsRecorded, RolloutMarked,
-                 RequestBlocked, ZoneEvacuated, RunnerListed, RunnerGone,
-                 InstanceListed, DutyHolder>;
+    std::variant<ServiceMapChanged, WeightsNamed, WeightsRecorded,
+                 RolloutMarked, RequestBlocked, ZoneEvacuated, RunnerListed,
+                 RunnerGone, InstanceListed, DutyHolder>;
 
 /// What the platform tells every instance: the operator's configuration, the
 /// named weights, the runners, and the fleet itself. read() and wait() block,
--- a/src/serve/fleet/change_applier.cpp
+++ b/src/serve/fleet/change_applier.cpp
@@ -22,7 +22,7 @@
 }
 
 void
-ChangeApplier::operator()(const MapNamed& change)
+ChangeApplier::operator()(const ServiceMapChanged& change)
 {
     const bool newer = m_state.fleet.with([&](FleetView& view) {
         if (view.map && view.map->version >= change.map->version)
--- a/src/serve/fleet/change_applier.h
+++ b/src/serve/fleet/change_applier.h
@@ -27,7 +27,7 @@
     ChangeApplier(ForwardState& state, bool whole,
                   std::optional<TimePoint> lapsed_until);
 
-    void operator()(const MapNamed& change);
+    void operator()(const ServiceMapChanged& change);
     void operator()(const WeightsNamed& change);
     void operator()(const WeightsRecorded& change);
     void operator()(const RolloutMarked& change);
