--- a/src/include/crosslink/ports/call_wire.h
+++ b/src/include/crosslink/ports/call_wire.h
@@ -26,7 +26,7 @@
 };
 
 /// What this instance adds to a call that it sends to a runner.
-struct SendTerms {
+struct SendOptions {
     std::string runner;  ///< Any other runner must refuse the call.
     std::string account; ///< Empty where the route needs no key.
     Micros time_left{0}; ///< The runner stops work after it.
@@ -83,7 +83,7 @@
     virtual ForwardedCall decode_call(const CallHead& head) const = 0;
     /// Encodes a call for a runner.
     virtual OutgoingCall encode_call(const ForwardedCall& call,
-                                     const SendTerms& terms) const = 0;
+                                     const SendOptions& terms) const = 0;
     /// Decodes the head of a runner's answer.
     virtual AnswerHead
     decode_answer(int status, std::span<const HeaderField> headers) const = 0;
--- a/src/serve/forward/call_prompt.cpp
+++ b/src/serve/forward/call_prompt.cpp
@@ -98,7 +98,7 @@
 
 void
 CallPrompt::ask(const KeptSpace& space, std::string_view zone, Micros time_left,
-                SendTerms& terms)
+                SendOptions& terms)
 {
     m_zone = zone;
     const auto parts = m_call.generation->shared_parts();
@@ -121,7 +121,7 @@
 
 /// Counts what is fetched, saved and read, and bounds the fetches.
 void
-CallPrompt::fetch_or_read(const KeptAnswer& answer, SendTerms& terms)
+CallPrompt::fetch_or_read(const KeptAnswer& answer, SendOptions& terms)
 {
     const auto parts = m_call.generation->shared_parts();
     const auto patience = std::chrono::duration_cast<std::chrono::milliseconds>(
--- a/src/serve/forward/call_prompt.h
+++ b/src/serve/forward/call_prompt.h
@@ -38,7 +38,7 @@
     /// `terms` what the runner, which is in `zone`, is to do with them. The
     /// call must be a generation that ends within `time_left`.
     void ask(const KeptSpace& space, std::string_view zone, Micros time_left,
-             SendTerms& terms);
+             SendOptions& terms);
     /// Takes note that the call is sent at `now` to a runner that is expected
     /// to take it up after `runner_wait`.
     void sent(TimePoint now, Micros runner_wait);
@@ -61,7 +61,7 @@
     std::string summary() const;
 
 private:
-    void fetch_or_read(const KeptAnswer& answer, SendTerms& terms);
+    void fetch_or_read(const KeptAnswer& answer, SendOptions& terms);
     bool fetches_all() const;
     const std::string& store_of_largest() const;
 
--- a/src/serve/forward/forward_answer.cpp
+++ b/src/serve/forward/forward_answer.cpp
@@ -54,7 +54,7 @@
 
 /// Sends the call to the chosen runner and relays its answer.
 ForwardRun::Outcome
-ForwardRun::exchange(CallerLink& link, const SendTerms& terms)
+ForwardRun::exchange(CallerLink& link, const SendOptions& terms)
 {
     m_connection->watch(link.socket(), m_deadline);
     try {
@@ -70,7 +70,7 @@
 }
 
 ForwardRun::Outcome
-ForwardRun::send_and_relay(CallerLink& link, const SendTerms& terms)
+ForwardRun::send_and_relay(CallerLink& link, const SendOptions& terms)
 {
     m_connection->send(m_state.ports.wire.encode_call(m_call, terms),
                        m_call.body);
--- a/src/serve/forward/forward_run.cpp
+++ b/src/serve/forward/forward_run.cpp
@@ -163,7 +163,7 @@
     bool reused = false;
     if (!connect(reused))
         return Outcome::NotSent;
-    const SendTerms sent = terms();
+    const SendOptions sent = terms();
     note_sent();
     Outcome outcome = Outcome::Broken;
     bool silent = false;
@@ -273,10 +273,10 @@
     }
 }
 
-SendTerms
+SendOptions
 ForwardRun::terms()
 {
-    SendTerms terms;
+    SendOptions terms;
     terms.runner = m_choice.pick().id;
     terms.time_left = time_left();
     if (m_holder)
--- a/src/serve/forward/forward_run.h
+++ b/src/serve/forward/forward_run.h
@@ -94,11 +94,11 @@
     bool may_go_on(Outcome outcome);
     bool take_repeat();
     void settle(Outcome outcome);
-    SendTerms terms();
+    SendOptions terms();
     bool connect(bool& reused);
     bool note_lost_contact(const std::exception& failure);
-    Outcome exchange(CallerLink& link, const SendTerms& terms);
-    Outcome send_and_relay(CallerLink& link, const SendTerms& terms);
+    Outcome exchange(CallerLink& link, const SendOptions& terms);
+    Outcome send_and_relay(CallerLink& link, const SendOptions& terms);
     std::optional<Outcome> await_answer();
     bool waits_on_weights() const;
     Micros next_look() const;
