--- a/src/include/crosslink/ports/call_wire.h
+++ b/src/include/crosslink/ports/call_wire.h
@@ -54,9 +54,9 @@
     /// As not_run: it has other weights than the call asked for, or is another
     /// runner than the one that was meant.
     bool misdirected = false;
-    bool genuine = false;      ///< It carries a runner's signature.
-    std::string call_id;       ///< Of the call that it answers; may be empty.
-    std::uint64_t version = 0; ///< Weights that it is made on; 0: not told.
+    bool has_signature = false; ///< It carries a runner's signature.
+    std::string call_id;        ///< Of the call that it answers; may be empty.
+    std::uint64_t version = 0;  ///< Weights that it is made on; 0: not told.
     /// Calls a second, at least 0, that the runner takes from all instances
     /// together; no_rate_limit where it names none; nothing where what it
     /// names can't be read.
--- a/src/serve/forward/answer_intake.cpp
+++ b/src/serve/forward/answer_intake.cpp
@@ -56,7 +56,7 @@
     }
     const bool names_none = *head.rate_limit == no_rate_limit;
     const bool is_no_end =
-        names_none && (!head.genuine || runner.limit_change == 0);
+        names_none && (!head.has_signature || runner.limit_change == 0);
     if (head.misdirected || is_no_end)
         return;
     m_state.note_runner_limit(runner.incarnation(), *head.rate_limit,
--- a/src/serve/forward/forward_answer.cpp
+++ b/src/serve/forward/forward_answer.cpp
@@ -187,7 +187,7 @@
     if (promises_not_run(head.status))
         return Outcome::Broken;
     const bool success = is_success(head.status);
-    if (success && (!head.genuine || head.encoded))
+    if (success && (!head.has_signature || head.encoded))
         return Outcome::Broken;
     if (success && head.event_stream)
         return relay_events(link, head);
@@ -222,7 +222,8 @@
     if (!m_connection->whole())
         return Outcome::Broken;
     keep_connection(head);
-    m_answered_failure = head.status >= first_server_error && head.genuine;
+    m_answered_failure =
+        head.status >= first_server_error && head.has_signature;
     if (repeats_failed()) {
         m_failed_answer = {head, std::move(body)};
         return Outcome::Failed;
