--- a/src/include/crosslink/ports/blocked_request_registry.h
+++ b/src/include/crosslink/ports/blocked_request_registry.h
@@ -10,19 +10,20 @@
 namespace crosslink
 {
 
-/// The platform's record of requests that are sent to no runner. It outlasts
-/// all instances, and tells those that start. Both calls block, and throw Error
-/// with PlatformUnavailable, PlatformThrottled or PlatformOutcomeUnknown; they
-/// may be called again then.
+/// The platform's record of blocked requests, which are sent to no runner. It
+/// outlives all instances, and those that start read it. Both calls block, and
+/// throw Error with PlatformUnavailable, PlatformThrottled or
+/// PlatformOutcomeUnknown; they may be repeated after any of these.
 class BlockedRequestRegistry
 {
 public:
     virtual ~BlockedRequestRegistry() = default;
 
-    /// Records that the request with this digest is blocked. The record goes by
-    /// itself after `span`, or the longest lease of the platform.
+    /// Records that the request with the digest `request` is blocked. The
+    /// record expires after `span`, or after the platform's longest lease if
+    /// that is shorter.
     virtual void block(const std::string& request, Micros span) = 0;
-    /// Takes that record away, where there is one.
+    /// Removes that record, if there is one.
     virtual void unblock(const std::string& request) = 0;
 };
 
--- a/src/include/crosslink/ports/call_wire.h
+++ b/src/include/crosslink/ports/call_wire.h
@@ -17,7 +17,7 @@
 namespace crosslink
 {
 
-/// The head of a caller's request as it came in.
+/// The head of a caller's request, as received.
 struct CallHead {
     std::string method;
     std::string target;
@@ -27,19 +27,21 @@
 
 /// What this instance adds to a call that it sends to a runner.
 struct SendOptions {
-    std::string runner;  ///< Any other runner must refuse the call.
-    std::string account; ///< Empty where the route needs no key.
-    Micros time_left{0}; ///< The runner stops work after it.
+    std::string runner;  ///< Id of the runner; any other must refuse the call.
+    std::string account; ///< Client account; empty if the route needs no key.
+    Micros time_left{0}; ///< The runner stops working on the call after it.
     std::optional<std::uint32_t> priority; ///< 0 is the most urgent.
-    /// Weights that the call must run on; 0 for plain services.
+    /// Version of the weights that the call must run on; 0 for plain services.
     std::uint64_t version = 0;
-    std::string space;             ///< Text of the kept space.
-    std::vector<KeptPlace> places; ///< One for each shared part, or none.
-    RunnerMillis fetch_until = 0;  ///< Fetches end by then; 0 for none.
-    std::string after_event;       ///< The stream goes on after this event.
+    std::string space;             ///< KeptSpace::text() of its KV.
+    std::vector<KeptPlace> places; ///< One per shared part, or empty.
+    RunnerMillis fetch_until = 0;  ///< Deadline of fetches; 0: no fetches.
+    /// Id of the last event received, after which the stream resumes; empty if
+    /// none was received.
+    std::string after_event;
 };
 
-/// A call as it goes out to a runner.
+/// A call encoded for a runner.
 struct OutgoingCall {
     std::string method;
     std::string target;
@@ -49,37 +51,42 @@
 /// The head of a runner's answer, decoded.
 struct AnswerHead {
     int status = 0;
-    std::vector<HeaderField> headers; ///< Those that travel to the caller.
-    bool not_run = false; ///< The runner's own word that it did not run.
-    /// As not_run: it has other weights than the call asked for, or is another
-    /// runner than the one that was meant.
+    std::vector<HeaderField> headers; ///< Those that are passed to the caller.
+    bool not_run = false; ///< The runner states that it did not run the call.
+    /// The runner did not run the call, because it has other weights than the
+    /// call requires or is not the runner that the call was meant for. Implies
+    /// not_run.
     bool misdirected = false;
     bool has_signature = false; ///< It carries a runner's signature.
-    std::string call_id;        ///< Of the call that it answers; may be empty.
-    std::uint64_t version = 0;  ///< Weights that it is made on; 0: not told.
-    /// Calls a second, at least 0, that the runner takes from all instances
-    /// together; no_rate_limit where it names none; nothing where what it
-    /// names can't be read.
+    std::string call_id;        ///< Id of the answered call; may be empty.
+    std::uint64_t version = 0;  ///< Weights that produced it; 0: not stated.
+    /// Calls per second, at least 0, that the runner accepts from all instances
+    /// together; no_rate_limit if it states no limit; std::nullopt if the
+    /// stated limit can't be parsed.
     std::optional<double> rate_limit = no_rate_limit;
-    /// The runner says that it will end; nothing where that can't be read.
+    /// Whether the runner states that it will end; std::nullopt if that can't
+    /// be parsed.
     std::optional<bool> leaving = false;
-    /// In this time the runner, which turned the call away, wants nothing from
-    /// this instance; 0 where it does not say so; nothing where what it says
-    /// can't be read.
+    /// How long this instance must send nothing to the runner, which refused
+    /// the call; 0 if the runner does not ask for a backoff; std::nullopt if
+    /// its value can't be parsed.
     std::optional<Micros> backoff = Micros{0};
-    std::string runner; ///< That answers, by its own word; empty: not told.
+    std::string runner; ///< Id that the answering runner states; may be empty.
     bool event_stream = false;
-    bool encoded = false; ///< The body is not as the runner made it.
-    std::optional<Micros> keep_alive; ///< How long an idle connection lives.
+    /// The body has a Content-Encoding: it is not as the runner made it.
+    bool encoded = false;
+    /// How long the runner keeps an idle connection open, if stated.
+    std::optional<Micros> keep_alive;
 };
 
-/// The wire of callers and runners: names of headers and their forms.
+/// The wire format that callers and runners use: header names and the syntax of
+/// their values.
 class CallWire
 {
 public:
     virtual ~CallWire() = default;
 
-    /// Decodes a caller's request without its body. Throws Error(BadRequest).
+    /// Decodes the head of a caller's request. Throws Error(BadRequest).
     virtual ForwardedCall decode_call(const CallHead& head) const = 0;
     /// Encodes a call for a runner.
     virtual OutgoingCall encode_call(const ForwardedCall& call,
--- a/src/include/crosslink/ports/duty_registry.h
+++ b/src/include/crosslink/ports/duty_registry.h
@@ -16,13 +16,13 @@
 /// A lease as the platform granted or extended it.
 struct GrantedLease {
     std::uint64_t token = 0; ///< Grows with each new holder.
-    Micros span{0};          ///< From the arrival of the call on.
-    /// True where it replaces the lease of an earlier process at the same
-    /// address, which may have acted until a moment ago.
+    Micros span{0}; ///< Counted from the arrival of the call at the platform.
+    /// True if it replaces the lease of an earlier process at the same address,
+    /// which may have acted under it until just before.
     bool replaces_own = false;
 };
 
-/// Leases on duties, and the presence of instances, at the platform. Calls
+/// Leases on duties, and the registration of instances, at the platform. Calls
 /// block. They throw Error with PlatformUnavailable, PlatformThrottled or
 /// PlatformOutcomeUnknown.
 class DutyRegistry
@@ -30,15 +30,16 @@
 public:
     virtual ~DutyRegistry() = default;
 
-    /// Takes the lease of `duty` for this instance at `address`, or extends
-    /// it where this instance holds it, within LeaseRenewal::attempt_timeout().
-    /// A lease of an earlier process at this address is replaced: that process
-    /// is gone. Nothing where another instance holds it.
+    /// Acquires the lease of `duty` for this instance at `address`, or extends
+    /// it if this instance holds it, within LeaseRenewal::attempt_timeout().
+    /// Replaces the lease of an earlier process at this address, since that
+    /// process has ended. Returns std::nullopt if another instance holds it.
     virtual std::optional<GrantedLease>
     hold(std::string_view duty, std::string_view address, Micros span) = 0;
-    /// Gives the lease back, where this instance holds it.
+    /// Releases the lease if this instance holds it.
     virtual void release(std::string_view duty) = 0;
-    /// Lists this instance, `own`, as present for `span`, or extends that.
+    /// Registers this instance, `own`, as present for `span`, or extends its
+    /// registration.
     virtual void present(const InstanceInfo& own, Micros span) = 0;
 };
 
--- a/src/include/crosslink/ports/engine.h
+++ b/src/include/crosslink/ports/engine.h
@@ -18,7 +18,7 @@
 namespace crosslink
 {
 
-/// A run as it is handed to a model engine.
+/// A run, as submitted to a model engine.
 struct EngineRun {
     std::string run_id; ///< Unique for each attempt.
     std::string account;
@@ -30,34 +30,34 @@
     std::uint32_t priority = 5;
     std::vector<Digest> block_keys;     ///< Keys of the prompt's blocks.
     std::string continued_text;         ///< Output the caller already has.
-    std::uint32_t continued_tokens = 0; ///< Number of tokens of it.
+    std::uint32_t continued_tokens = 0; ///< Tokens in continued_text.
 };
 
 /// One frame of a run's answer.
 struct EngineFrame {
     std::string run_id;
-    std::uint32_t index = 0; ///< Place of the token in the whole answer.
+    std::uint32_t index = 0; ///< Position of the token in the whole answer.
     std::string text;
-    std::string version;             ///< Weight version that made the token.
-    bool last = false;               ///< The answer is whole with this frame.
+    std::string version; ///< Weight version that produced the token.
+    bool last = false;   ///< The answer is complete with this frame.
     std::uint32_t prompt_tokens = 0; ///< On the last frame.
     std::uint32_t cached_tokens = 0; ///< Prompt tokens that were not computed.
 };
 
-/// What the receiver of a frame wants next.
+/// Whether the receiver of a frame wants further frames.
 enum class FrameVerdict { Continue, Stop };
 
 /// Receives the frames of one run, in the order in which they arrive.
 using FrameSink = std::function<FrameVerdict(const EngineFrame& frame)>;
 
-/// A model with version and adapter that an engine has in memory.
+/// A model version that an engine has in memory, with its adapters.
 struct ResidentModel {
     std::string model;
     std::string version;
     std::vector<std::string> adapters;
 };
 
-/// An engine's report of its load. It lags.
+/// An engine's report of its load. It lags behind the actual load.
 struct EngineLoad {
     std::string engine_id;
     std::vector<ResidentModel> resident;
@@ -68,24 +68,25 @@
     double import_bytes_per_second = 0;
     std::uint64_t block_bytes = 0; ///< KV bytes of one block.
     std::uint32_t slots = 1;       ///< Runs that decode at the same time.
-    bool leaving = false;          ///< The engine's own word that it leaves.
+    bool leaving = false;          ///< The engine states that it will end.
     std::uint64_t last_event = 0;  ///< Sequence number of its newest event.
 };
 
-/// One change of an engine's prefix cache. Events come late and with gaps.
+/// One change of an engine's prefix cache. Events arrive late and with gaps.
 struct CacheEvent {
-    std::uint64_t sequence = 0; ///< Grows by one; a jump is a gap.
+    std::uint64_t sequence = 0; ///< Grows by one; a larger step is a gap.
     Digest key;
     bool stored = false; ///< False: dropped from memory.
 };
 
-/// Result of an import: what the engine read and holds aside, not in use yet.
+/// Result of an import: blocks that the engine read and staged, but does not
+/// use yet.
 struct ImportResult {
     std::string staged_id;
     std::vector<Digest> contents; ///< SHA-256 of each block as read.
 };
 
-/// Asks a store for blocks on behalf of an engine.
+/// An order to an engine to read blocks from a store.
 struct ImportOrder {
     std::string account;
     std::string model;
@@ -93,7 +94,7 @@
     std::string adapter;
     std::string store_address;
     std::vector<SealedBlock> blocks;
-    Micros give_up = std::chrono::seconds(5); ///< Time it may take.
+    Micros give_up = std::chrono::seconds(5); ///< Time limit of the import.
 };
 
 /// A block that an engine is to write into a store.
@@ -102,7 +103,8 @@
     BlockHandle handle;
 };
 
-/// An order that changes what an engine is or holds, under a fencing token.
+/// An order that changes an engine's role or its loaded models, under a fencing
+/// token.
 struct EngineOrder {
     std::string action; ///< "load", "unload" or "role".
     std::string model;
@@ -111,28 +113,29 @@
     std::uint64_t fencing_token = 0;
 };
 
-/// One model engine. Calls block. They throw Error whose run_state() says
-/// what is known of the run.
+/// One model engine. Calls block. They throw Error, whose run_state() says
+/// whether the run may have been executed.
 class Engine
 {
 public:
     virtual ~Engine() = default;
 
-    /// Runs and feeds `sink` until the last frame or until it says Stop.
-    /// Throws where the answer ended before its last frame.
+    /// Starts `run` with the imported blocks of `staged_id`, and passes its
+    /// frames to `sink` until the last frame or until `sink` returns Stop.
+    /// Throws if the answer ends before its last frame.
     virtual void run(const EngineRun& run, std::string_view staged_id,
                      const FrameSink& sink) = 0;
-    /// Takes up a broken stream again, from token `from` on.
+    /// Resumes an interrupted stream at token `from`.
     virtual void resume(std::string_view run_id, std::uint32_t from,
                         const FrameSink& sink) = 0;
-    /// Ends a run. Without effect where it is not known.
+    /// Cancels a run. Has no effect if the engine does not know it.
     virtual void cancel(std::string_view run_id) = 0;
-    /// Reads blocks from a store and holds them aside.
+    /// Reads blocks from a store and stages them for a run.
     virtual ImportResult import(const ImportOrder& order) = 0;
-    /// Drops blocks that were imported and are not to be used.
+    /// Drops staged blocks that no run will use.
     virtual void discard(std::string_view staged_id) = 0;
     /// Writes blocks of its prefix cache into a store. Returns the SHA-256 of
-    /// each as written; shorter where a block was gone.
+    /// each as written; the result is shorter if a block was gone.
     virtual std::vector<Digest>
     export_blocks(std::string_view store_address,
                   std::span<const ExportBlock> blocks) = 0;
@@ -140,9 +143,9 @@
     virtual EngineLoad load() = 0;
     /// Returns the cache events after `sequence`.
     virtual std::vector<CacheEvent> events_after(std::uint64_t sequence) = 0;
-    /// Returns the keys in its prefix cache, after a gap in the events.
+    /// Returns the keys in its prefix cache; needed after a gap in the events.
     virtual std::vector<Digest> cached_keys() = 0;
-    /// Gives an order. Throws Error(LeaseLost) where the token is too old.
+    /// Sends an order. Throws Error(LeaseLost) if its fencing token is too old.
     virtual void order(const EngineOrder& order) = 0;
 };
 
--- a/src/include/crosslink/ports/fleet_feed.h
+++ b/src/include/crosslink/ports/fleet_feed.h
@@ -23,41 +23,40 @@
     std::shared_ptr<const ServiceMap> map;
 };
 
-/// New weights that the runners are to be brought to.
+/// New weights that the runners must load.
 struct WeightsNamed {
     std::string model;
     std::uint64_t version = 0;
 };
 
-/// The record of weights that were named lately, as a holder of the duty wrote
-/// it.
+/// The record of recently named weights, as written by a holder of the duty.
 struct WeightsRecorded {
     std::string model;
-    std::vector<std::uint64_t> versions; ///< In rising order.
+    std::vector<std::uint64_t> versions; ///< In ascending order.
 };
 
-/// Whether calls may still be sent to weights that `version` replaced, by the
-/// lease that was written with its record.
+/// Whether calls may still be sent to weights that `version` replaced. They may
+/// until the lease that was written with the record of `version` expires.
 struct RolloutMarked {
     std::string model;
     std::uint64_t version = 0;
     bool open = false;
 };
 
-/// Whether a request is recorded as one that is sent to no runner.
+/// Whether a request is recorded as blocked: it is sent to no runner.
 struct RequestBlocked {
-    std::string request; ///< Its digest.
+    std::string request; ///< Digest of the request.
     bool blocked = false;
 };
 
-/// Whether nothing new may be sent to the runners of a zone, as the operator
-/// asks for.
+/// Whether the operator asks that nothing new is sent to the runners of an
+/// availability zone.
 struct ZoneEvacuated {
     std::string zone;
     bool evacuated = false;
 };
 
-/// A runner whose entry in the list is new or changed.
+/// A runner whose entry in the list was added or changed.
 struct RunnerListed {
     ListedRunner runner;
 };
@@ -67,25 +66,28 @@
     std::string id;
 };
 
-/// An entry instance that is present, or that left: then its address is empty.
+/// An entry instance that is present, or has left; its address is empty if it
+/// has left.
 struct InstanceListed {
     InstanceInfo instance;
 };
 
-/// Who holds the duty lease of a name; empty address for nobody.
+/// The instance that holds the lease of `duty`; `address` is empty if there is
+/// none.
 struct DutyHolder {
     std::string duty;
     std::string address;
 };
 
-/// One change of what the platform tells the fleet.
+/// One decoded change of the platform's data about the fleet.
 using FleetChange =
     std::variant<ServiceMapChanged, WeightsNamed, WeightsRecorded,
                  RolloutMarked, RequestBlocked, ZoneEvacuated, RunnerListed,
                  RunnerGone, InstanceListed, DutyHolder>;
 
-/// What the platform tells every instance: the operator's configuration, the
-/// named weights, the runners, and the fleet itself. read() and wait() block,
+/// The platform's data that every instance follows: the operator's
+/// configuration, the named weights, the runners, and the entry instances with
+/// the duties that they hold. read() and wait() block,
 /// and throw Error with PlatformUnavailable, PlatformThrottled or
 /// PlatformOutcomeUnknown.
 class FleetFeed
@@ -93,13 +95,13 @@
 public:
     virtual ~FleetFeed() = default;
 
-    /// Returns all there is now.
+    /// Returns a snapshot of all current entries.
     virtual ChangePage read() = 0;
-    /// Waits up to `longest` for changes after `place`. Where the platform
-    /// has forgotten them, returns all there is.
+    /// Waits up to `longest` for changes after the revision `place`. Returns a
+    /// snapshot if the platform no longer has these changes.
     virtual ChangePage wait(std::uint64_t place, Micros longest) = 0;
-    /// Returns what the entries of `page` mean, in their order. Those that mean
-    /// nothing here, or can't be read, are left out; the latter are logged.
+    /// Decodes the entries of `page`, in their order. Skips entries that are of
+    /// no use here or can't be decoded, and logs the latter.
     virtual std::vector<FleetChange> decode(const ChangePage& page) const = 0;
 };
 
--- a/src/include/crosslink/ports/kept_stores.h
+++ b/src/include/crosslink/ports/kept_stores.h
@@ -13,21 +13,21 @@
 namespace crosslink
 {
 
-/// The stores of kept KV that the system manages. Stores are named by address,
-/// "ip:port". Calls block.
+/// The stores of kept KV blocks that the system manages. Stores are identified
+/// by address, "ip:port". Calls block.
 class KeptStores
 {
 public:
     virtual ~KeptStores() = default;
 
-    /// Returns all that the store has. Throws Error(StoreUnavailable).
+    /// Lists all parts in the store. Throws Error(StoreUnavailable).
     virtual KeptListing list(std::string_view address) = 0;
-    /// Waits up to `longest` for changes after the place `after`. Throws
+    /// Waits up to `longest` for changes after the position `after`. Throws
     /// Error(StoreUnavailable).
     virtual KeptChanges changes(std::string_view address, std::uint64_t after,
                                 Micros longest) = 0;
-    /// Lets a store free parts, if it gets to it before `until`. Does not
-    /// throw: a later listing tells what was freed.
+    /// Orders a store to free parts; the order expires at `until`. Does not
+    /// throw: a later listing shows what was freed.
     virtual void free(const KeptFree& order, RunnerMillis until) = 0;
 };
 
--- a/src/include/crosslink/ports/peer.h
+++ b/src/include/crosslink/ports/peer.h
@@ -18,21 +18,21 @@
 namespace crosslink
 {
 
-/// What a peer knows of a claimed call that it holds.
+/// The state of a claimed call at the peer that holds its claim.
 struct HeldAnswer {
     enum class State { Unknown, Running, Finished };
     State state = State::Unknown;
-    /// SHA-256 of the call that the key was used for: the same key on another
-    /// call must not get this answer.
+    /// SHA-256 of the call that used the key: another call with the same key
+    /// must not get this answer.
     Digest fingerprint;
-    PlainAnswer answer; ///< Where finished.
+    PlainAnswer answer; ///< Set if the state is Finished.
 };
 
-/// The upstreams of the platform's list, as an instance knows them.
+/// An instance's copy of the upstreams in the platform's list.
 struct UpstreamList {
     std::vector<ListedInstance> upstreams; ///< Ordered by address.
-    Digest digest; ///< Of the upstreams; all zero before the first list.
-    Micros age{0}; ///< Since the list was read at the platform.
+    Digest digest; ///< Of `upstreams`; all zero before the first list.
+    Micros age{0}; ///< Time since the list was read from the platform.
 };
 
 /// Another entry instance. Calls throw Error(PeerUnavailable).
@@ -41,20 +41,23 @@
 public:
     virtual ~Peer() = default;
 
-    /// Exchanges membership news and revisions.
+    /// Exchanges membership updates and revisions.
     virtual GossipMessage gossip(const GossipMessage& message) = 0;
-    /// Asks the peer to commit claims of a slice that it is preferred for.
+    /// Asks the peer, the preferred committer of `slice`, to commit claims.
     virtual std::vector<ClaimVerdict>
     commit_claims(std::uint32_t slice, std::span<const Claim> claims) = 0;
-    /// Asks for the kept answer of a claimed call.
+    /// Returns the state of the claimed call with `key`, and its answer if it
+    /// has finished.
     virtual HeldAnswer answer_of(const Digest& key) = 0;
-    /// Returns the peer's head of the configuration; nothing before its first.
+    /// Returns the peer's configuration head; std::nullopt before its first
+    /// one.
     virtual std::optional<ConfigurationHead> configuration_head() = 0;
-    /// Returns one part of the configuration; nothing where it has it not.
+    /// Returns one part of the configuration; std::nullopt if the peer does not
+    /// have it.
     virtual std::optional<std::string>
     configuration_part(const Digest& digest) = 0;
-    /// Returns the peer's list of upstreams; without the rows where they have
-    /// the digest `have`.
+    /// Returns the peer's list of upstreams; `upstreams` is left empty if its
+    /// digest is `have`.
     virtual UpstreamList upstream_list(const Digest& have) = 0;
 };
 
--- a/src/include/crosslink/ports/plain_service.h
+++ b/src/include/crosslink/ports/plain_service.h
@@ -21,7 +21,7 @@
 /// A call to a plain service, as the caller made it.
 struct PlainCall {
     std::string method;
-    std::string path; ///< With its query.
+    std::string path; ///< Includes the query.
     std::vector<HeaderField> headers;
     std::string body;
 };
@@ -31,16 +31,17 @@
     int status = 0;
     std::string content_type;
     std::string body;
-    /// The service's own word that it did not run the call: 429 or 503 with
-    /// Retry-After (RFC 9110, 10.2.3). A bare 503 says nothing of the kind.
+    /// The service states that it did not run the call: 429 or 503 with
+    /// Retry-After (RFC 9110, 10.2.3). A 503 without Retry-After does not state
+    /// this.
     bool refused_before_run = false;
-    /// The time that it names there: it wants nothing from this instance so
-    /// long. 0 where it names none that can be read.
+    /// The time in Retry-After, for which this instance must send nothing to
+    /// the service; 0 if it can't be parsed.
     Micros backoff{0};
 };
 
-/// One instance of a plain service. Throws Error whose run_state() says what
-/// is known of the call.
+/// One instance of a plain service. Calls throw Error, whose run_state() says
+/// whether the call may have been executed.
 class PlainService
 {
 public:
--- a/src/include/crosslink/ports/rollout_registry.h
+++ b/src/include/crosslink/ports/rollout_registry.h
@@ -11,18 +11,18 @@
 namespace crosslink
 {
 
-/// The record of named weights at the platform. It outlasts all instances, and
-/// tells those that start how long replaced weights may still be used.
+/// The platform's record of named weights. It outlives all instances; those
+/// that start learn from it how long replaced weights may still be used.
 class RolloutRegistry
 {
 public:
     virtual ~RolloutRegistry() = default;
 
-    /// Records `version` of `model`, with a mark that goes by itself after
-    /// `left` at the latest, both at once; without one where that is too short.
-    /// Does nothing where the version is recorded already. Blocks, and throws
-    /// Error with PlatformUnavailable, PlatformThrottled or
-    /// PlatformOutcomeUnknown; it may be called again then.
+    /// Records `version` of `model` together with a marker that expires after
+    /// `left` at the latest, in one write. Leaves the marker out if `left` is
+    /// too short for a lease. Does nothing if the version is recorded already.
+    /// Blocks, and throws Error with PlatformUnavailable, PlatformThrottled or
+    /// PlatformOutcomeUnknown; it may be repeated after any of these.
     virtual void record(std::string_view model, std::uint64_t version,
                         Micros left) = 0;
 };
--- a/src/include/crosslink/ports/runner_orders.h
+++ b/src/include/crosslink/ports/runner_orders.h
@@ -12,27 +12,29 @@
 namespace crosslink
 {
 
-/// A runner's own word on its weights.
+/// A runner's report on its weights.
 struct RunnerReport {
-    std::uint64_t version = 0;  ///< Of the model asked for; 0 where absent.
-    std::uint64_t start_ms = 0; ///< Its incarnation; 0 where it is not told.
+    std::uint64_t version = 0;  ///< Of the requested model; 0: not listed.
+    std::uint64_t start_ms = 0; ///< The runner's incarnation; 0: not stated.
     bool busy = false;          ///< An order is being carried out.
-    std::uint64_t orders = 0;   ///< Orders that it took since its start.
-    bool leaving = false;       ///< It says that it will end.
+    std::uint64_t orders = 0;   ///< Orders accepted since the runner's start.
+    bool leaving = false;       ///< The runner states that it will end.
 };
 
-/// Orders to runners. Calls block and do not throw: what can't be reached is
-/// an outcome.
+/// Orders to runners. Calls block and do not throw: an unreachable runner shows
+/// in the return value.
 class RunnerOrders
 {
 public:
     virtual ~RunnerOrders() = default;
 
-    /// Asks a runner; nothing where it does not answer.
+    /// Asks the runner at `address` for a report on `model`. Returns
+    /// std::nullopt if it does not answer.
     virtual std::optional<RunnerReport> report(std::string_view address,
                                                std::string_view model) = 0;
-    /// Gives `order` under `token`, where the runner took `orders` orders
-    /// before: a late copy of it is then refused.
+    /// Sends `order` under the fencing token `token`. The runner refuses it
+    /// unless it has accepted exactly `orders` orders since its start, so that
+    /// a delayed copy of an order is refused.
     virtual OrderOutcome give(const WeightsOrder& order, std::uint64_t token,
                               std::uint64_t orders) = 0;
 };
--- a/src/include/crosslink/ports/store.h
+++ b/src/include/crosslink/ports/store.h
@@ -15,9 +15,9 @@
 namespace crosslink
 {
 
-/// Where a block lies in a store. A slot is used again after a block was
-/// freed; its generation grows then. The incarnation changes when the store
-/// starts anew and has forgotten everything.
+/// Location of a block in a store. A slot is reused after its block was freed;
+/// its generation grows then. The incarnation changes when the store restarts
+/// without any of its blocks.
 struct BlockHandle {
     std::uint64_t slot = 0;
     std::uint64_t generation = 0;
@@ -30,11 +30,11 @@
 struct SealedBlock {
     Digest key;
     BlockHandle handle;
-    Digest content;          ///< SHA-256 of the bytes, told at the seal.
+    Digest content;          ///< SHA-256 of the bytes, passed to seal().
     std::uint64_t bytes = 0; ///< Size of the KV data.
 };
 
-/// Returns the KV bytes of `blocks` together.
+/// Returns the sum of the KV bytes of `blocks`.
 inline std::uint64_t
 total_bytes(std::span<const SealedBlock> blocks)
 {
@@ -54,14 +54,15 @@
     /// Returns the sealed blocks among `keys`, in the order of `keys`, up to
     /// the first one that is missing.
     virtual std::vector<SealedBlock> lookup(std::span<const Digest> keys) = 0;
-    /// Reserves room for a block that is to be written. Returns nothing where
-    /// the store has it already or is writing it.
+    /// Reserves room for a block that is about to be written. Returns
+    /// std::nullopt if the store has it already or it is being written.
     virtual std::optional<BlockHandle>
     reserve(const Digest& key, std::string_view owner, std::uint64_t bytes) = 0;
-    /// Seals a written block. Throws BlockGone where the reservation ended.
+    /// Seals a written block. Throws Error(BlockGone) if its reservation has
+    /// ended.
     virtual void seal(const Digest& key, const BlockHandle& handle,
                       const Digest& content) = 0;
-    /// Gives up a reservation; without effect where it already ended.
+    /// Cancels a reservation; has no effect if it has ended already.
     virtual void abandon(const Digest& key, const BlockHandle& handle) = 0;
     /// Returns whether each block is still sealed under the same handle.
     virtual std::vector<bool> verify(std::span<const SealedBlock> blocks) = 0;
