--- a/src/peer_rpc/rpc.cpp
+++ b/src/peer_rpc/rpc.cpp
@@ -20,9 +20,9 @@
 namespace
 {
 
-/// What all methods share: parameters by name, none of them required here;
-/// each method checks its own.
-constexpr const char* no_parameters = nullptr;
+/// Declares no required parameters: they are passed by name, and each method
+/// checks its own.
+constexpr const char* no_required_parameters = nullptr;
 
 class Connector : public jsonrpc::IClientConnector
 {
@@ -32,8 +32,8 @@
     {
     }
 
-    // The library declares this method with a dynamic exception
-    // specification, so a transport's exception must wait until it returned.
+    // The dynamic exception specification lets no other exception pass, so the
+    // transport's exception is stored for rethrow_failure().
     void SendRPCMessage(const std::string& message, std::string& result) throw(
         jsonrpc::JsonRpcException) override
     {
@@ -135,16 +135,17 @@
 RpcServer::add(const std::string& name, Method method)
 {
     m_impl->dispatcher.methods[name] = std::move(method);
-    m_impl->handler->AddProcedure(jsonrpc::Procedure(
-        name, jsonrpc::PARAMS_BY_NAME, jsonrpc::JSON_OBJECT, no_parameters));
+    m_impl->handler->AddProcedure(
+        jsonrpc::Procedure(name, jsonrpc::PARAMS_BY_NAME, jsonrpc::JSON_OBJECT,
+                           no_required_parameters));
 }
 
 std::string
 RpcServer::handle(const std::string& request)
 {
-    std::string answer;
-    m_impl->handler->HandleRequest(request, answer);
-    return answer;
+    std::string response;
+    m_impl->handler->HandleRequest(request, response);
+    return response;
 }
 
 } // namespace crosslink
--- a/src/peer_rpc/rpc.h
+++ b/src/peer_rpc/rpc.h
@@ -13,8 +13,8 @@
 namespace crosslink
 {
 
-/// A JSON-RPC call that the other side answered with an error, or that its
-/// transport could not carry.
+/// A JSON-RPC call that failed: the server answered with an error, or the
+/// transport could not carry it.
 class RpcError : public std::runtime_error
 {
 public:
@@ -22,13 +22,13 @@
 };
 
 /// Makes JSON-RPC 2.0 calls. This library is built as C++14, because the
-/// headers of libjsonrpccpp do not compile as C++17 or later; this header is
-/// free of them.
+/// headers of libjsonrpccpp do not compile as C++17 or later; this header does
+/// not include them.
 class RpcClient
 {
 public:
-    /// Carries one request text and returns the answer's text. What it throws
-    /// passes through call().
+    /// Sends the text of one request and returns the text of its response.
+    /// call() rethrows its exceptions.
     using Transport = std::function<std::string(const std::string& request)>;
 
     explicit RpcClient(Transport transport);
@@ -36,7 +36,8 @@
     RpcClient(const RpcClient&) = delete;
     RpcClient& operator=(const RpcClient&) = delete;
 
-    /// Calls `method`. Throws RpcError where the answer is an error.
+    /// Calls `method` and returns its result. Throws RpcError if the response
+    /// is an error.
     Json::Value call(const std::string& method, const Json::Value& parameters);
 
 private:
@@ -44,11 +45,12 @@
     std::unique_ptr<Impl> m_impl;
 };
 
-/// Answers JSON-RPC 2.0 calls.
+/// Dispatches JSON-RPC 2.0 calls to registered methods.
 class RpcServer
 {
 public:
-    /// Returns the result for the given parameters; throwing answers an error.
+    /// Returns the result for the given parameters; an exception is sent to the
+    /// client as an error.
     using Method = std::function<Json::Value(const Json::Value& parameters)>;
 
     RpcServer();
@@ -56,9 +58,10 @@
     RpcServer(const RpcServer&) = delete;
     RpcServer& operator=(const RpcServer&) = delete;
 
-    /// Adds a method; only before the first handle().
+    /// Registers a method. Must not be called after the first handle().
     void add(const std::string& name, Method method);
-    /// Returns the answer's text to a request's text. Safe for many threads.
+    /// Handles the text of one request and returns the text of the response.
+    /// Thread-safe.
     std::string handle(const std::string& request);
 
 private:
