--- a/src/crosslink/main.cpp
+++ b/src/crosslink/main.cpp
@@ -20,7 +20,7 @@
 {
 
 int
-exit_code_of(crosslink::ErrorCode code)
+exit_code_for(crosslink::ErrorCode code)
 {
     switch (code) {
     case crosslink::ErrorCode::RevisionConflict:
@@ -33,7 +33,7 @@
     case crosslink::ErrorCode::PeerUnavailable:
         return crosslink::ExitUnreachable;
     default:
-        return crosslink::ExitMistakes;
+        return crosslink::ExitInvalid;
     }
 }
 
@@ -45,12 +45,12 @@
     std::signal(SIGPIPE, SIG_IGN);
     CLI::App tool("crosslink serves prompts that return after long gaps");
     tool.require_subcommand(1);
-    crosslink::add_serve_verb(tool);
+    crosslink::add_serve_command(tool);
     crosslink::platform::add_front_verb(tool);
-    crosslink::add_template_verb(tool);
-    crosslink::add_status_verb(tool);
-    crosslink::add_report_verb(tool);
-    crosslink::add_version_verb(tool);
+    crosslink::add_template_command(tool);
+    crosslink::add_status_command(tool);
+    crosslink::add_report_command(tool);
+    crosslink::add_version_command(tool);
     try {
         tool.parse(argc, argv);
     } catch (const CLI::ParseError& failure) {
@@ -59,10 +59,10 @@
         std::fprintf(stderr, "crosslink: %s: %s\n",
                      std::string(crosslink::error_name(failure.code())).c_str(),
                      failure.what());
-        return exit_code_of(failure.code());
+        return exit_code_for(failure.code());
     } catch (const std::exception& failure) {
         std::fprintf(stderr, "crosslink: %s\n", failure.what());
-        return crosslink::ExitMistakes;
+        return crosslink::ExitInvalid;
     }
     return crosslink::ExitOk;
 }
--- a/src/crosslink/operator_client.cpp
+++ b/src/crosslink/operator_client.cpp
@@ -19,18 +19,20 @@
 namespace
 {
 
-constexpr int success = 200;
+constexpr int http_ok = 200;
 
 } // namespace
 
 void
-add_access_options(CLI::App& verb, OperatorAccess& access, bool required)
+add_access_options(CLI::App& command, OperatorAccess& access, bool required)
 {
-    verb.add_option("--instance", access.instance,
+    command
+        .add_option("--instance", access.instance,
                     "Peer address of an entry instance")
         ->envname("CROSSLINK_INSTANCE")
         ->required(required);
-    verb.add_option("--fleet-secret-file", access.secret_file,
+    command
+        .add_option("--fleet-secret-file", access.secret_file,
                     "File with the fleet's secret")
         ->envname("CROSSLINK_FLEET_SECRET_FILE")
         ->required(required);
@@ -48,8 +50,8 @@
 }
 
 Json::Value
-ask_instance(const std::string& address, const std::string& secret,
-             std::string_view path)
+fetch_from_instance(const std::string& address, const std::string& secret,
+                    std::string_view path)
 {
     HttpClient client(address, {});
     HttpRequest request;
@@ -63,7 +65,7 @@
         throw Error(ErrorCode::PeerUnavailable,
                     address + ": " + failure.what());
     }
-    if (answer.status != success)
+    if (answer.status != http_ok)
         throw Error(ErrorCode::PeerUnavailable,
                     address + " answered " + std::to_string(answer.status));
     return parse_json(answer.body);
--- a/src/crosslink/operator_client.h
+++ b/src/crosslink/operator_client.h
@@ -19,16 +19,19 @@
 /// How an operator's verb reaches the instances.
 struct OperatorAccess {
     std::string instance;    ///< Peer address of any entry instance.
-    std::string secret_file; ///< File with the fleet's secret.
+    std::string secret_file; ///< File with the secret that instances share.
 };
 
-/// Adds the options that `access` takes to `verb`; both are required where
-/// `required` says so.
-void add_access_options(CLI::App& verb, OperatorAccess& access, bool required);
+/// Adds the options that fill in `access` to `command`. Both options must be
+/// given if `required` is set.
+void add_access_options(CLI::App& command, OperatorAccess& access,
+                        bool required);
 /// Reads the first line of the secret file. Throws Error(SettingsInvalid).
 std::string read_secret(const std::string& path);
-/// Asks an instance for /status or /report. Throws Error(PeerUnavailable).
-Json::Value ask_instance(const std::string& address, const std::string& secret,
-                         std::string_view path);
+/// Requests `path`, /status or /report, from the instance at `address`. Throws
+/// Error(PeerUnavailable).
+Json::Value fetch_from_instance(const std::string& address,
+                                const std::string& secret,
+                                std::string_view path);
 
 } // namespace crosslink
--- a/src/crosslink/report_verb.cpp
+++ b/src/crosslink/report_verb.cpp
@@ -34,10 +34,11 @@
 
 /// Asks every live instance that `access.instance` knows, and adds up.
 FleetReport
-fleet_report(const OperatorAccess& access)
+fetch_fleet_report(const OperatorAccess& access)
 {
     const std::string secret = read_secret(access.secret_file);
-    const Json::Value status = ask_instance(access.instance, secret, "/status");
+    const Json::Value status =
+        fetch_from_instance(access.instance, secret, "/status");
     std::vector<Json::Value> reports;
     std::vector<Json::Value> links;
     for (const Json::Value& member : status["members"]) {
@@ -45,8 +46,9 @@
         if (json_string(member, "state") == "dead")
             continue;
         try {
-            reports.push_back(ask_instance(address, secret, "/report"));
-            links.push_back(ask_instance(address, secret, "/status")["links"]);
+            reports.push_back(fetch_from_instance(address, secret, "/report"));
+            links.push_back(
+                fetch_from_instance(address, secret, "/status")["links"]);
         } catch (const Error& failure) {
             std::fprintf(stderr, "left out: %s\n", failure.what());
         }
@@ -57,7 +59,7 @@
 void
 show_report(const ReportOptions& options)
 {
-    const FleetReport report = fleet_report(options.access);
+    const FleetReport report = fetch_fleet_report(options.access);
     if (!options.html.empty()) {
         std::ofstream file(options.html);
         file << burn_html(report.rows, report.links);
@@ -66,11 +68,11 @@
                         "--html can't be written: \"" + options.html + "\"");
         return;
     }
-    Json::Value whole;
-    whole["burn"] = report.rows;
-    whole["links"] = report.links;
+    Json::Value document;
+    document["burn"] = report.rows;
+    document["links"] = report.links;
     const std::string text =
-        options.json ? json_pretty(whole) + "\n"
+        options.json ? json_pretty(document) + "\n"
                      : burn_text(report.rows) + "\n" + links_text(report.links);
     std::fputs(text.c_str(), stdout);
 }
@@ -78,15 +80,15 @@
 } // namespace
 
 void
-add_report_verb(CLI::App& tool)
+add_report_command(CLI::App& tool)
 {
-    CLI::App& verb =
+    CLI::App& command =
         *tool.add_subcommand("report", "Show the service-level burn");
     const auto options = std::make_shared<ReportOptions>();
-    add_access_options(verb, options->access, true);
-    verb.add_flag("--json", options->json, "Print JSON");
-    verb.add_option("--html", options->html, "Write one HTML page there");
-    verb.final_callback([options] { show_report(*options); });
+    add_access_options(command, options->access, true);
+    command.add_flag("--json", options->json, "Print JSON");
+    command.add_option("--html", options->html, "Write one HTML page there");
+    command.final_callback([options] { show_report(*options); });
 }
 
 } // namespace crosslink
--- a/src/crosslink/serve_verb.cpp
+++ b/src/crosslink/serve_verb.cpp
@@ -52,15 +52,15 @@
 } // namespace
 
 void
-add_serve_verb(CLI::App& tool)
+add_serve_command(CLI::App& tool)
 {
-    CLI::App& verb = *tool.add_subcommand("serve", "Run an entry instance");
-    const auto texts = std::make_shared<SettingTexts>(verb);
-    verb.final_callback([texts] { serve(*texts); });
+    CLI::App& command = *tool.add_subcommand("serve", "Run an entry instance");
+    const auto texts = std::make_shared<SettingTexts>(command);
+    command.final_callback([texts] { serve(*texts); });
 }
 
 void
-add_version_verb(CLI::App& tool)
+add_version_command(CLI::App& tool)
 {
     tool.add_subcommand("version", "Print the version")->final_callback([] {
         std::printf("crosslink %s\n", CROSSLINK_VERSION);
--- a/src/crosslink/status_verb.cpp
+++ b/src/crosslink/status_verb.cpp
@@ -27,7 +27,7 @@
 {
     const std::string secret = read_secret(options.access.secret_file);
     const Json::Value status =
-        ask_instance(options.access.instance, secret, "/status");
+        fetch_from_instance(options.access.instance, secret, "/status");
     const std::string text =
         options.json ? json_pretty(status) + "\n" : status_text(status);
     std::fputs(text.c_str(), stdout);
@@ -36,14 +36,14 @@
 } // namespace
 
 void
-add_status_verb(CLI::App& tool)
+add_status_command(CLI::App& tool)
 {
-    CLI::App& verb = *tool.add_subcommand(
+    CLI::App& command = *tool.add_subcommand(
         "status", "Show the fleet as one instance sees it");
     const auto options = std::make_shared<StatusOptions>();
-    add_access_options(verb, options->access, true);
-    verb.add_flag("--json", options->json, "Print JSON");
-    verb.final_callback([options] { show_status(*options); });
+    add_access_options(command, options->access, true);
+    command.add_flag("--json", options->json, "Print JSON");
+    command.final_callback([options] { show_status(*options); });
 }
 
 } // namespace crosslink
--- a/src/crosslink/template_verb.cpp
+++ b/src/crosslink/template_verb.cpp
@@ -30,16 +30,16 @@
     std::string platform;
     std::string author = "operator";
     OperatorAccess access;
-    std::uint64_t base_revision = 0; ///< 0: the one in place.
+    std::uint64_t base_revision = 0; ///< 0: the current revision.
     bool wait = false;
     std::uint32_t wait_seconds = 18;
 };
 
-/// Time between two looks at who has a change in force.
-constexpr auto look_step = std::chrono::milliseconds(100);
+/// Interval at which instances are polled for the revision they have in force.
+constexpr auto poll_interval = std::chrono::milliseconds(100);
 
 PlatformHttp
-platform_of(const TemplateOptions& options)
+platform_client(const TemplateOptions& options)
 {
     constexpr Micros connect = std::chrono::seconds(1);
     constexpr Micros receive = std::chrono::seconds(3);
@@ -111,7 +111,7 @@
 {
     TemplateSet set = read_templates(options.directory);
     check_templates(set);
-    PlatformHttp platform = platform_of(options);
+    PlatformHttp platform = platform_client(options);
     const HeadRecord base = read_head(platform);
     const std::size_t changes =
         print_changes(declarations_of(stored_parts(platform, base.head)),
@@ -123,18 +123,20 @@
 /// Returns the live members that do not have `revision` in force, as one
 /// reachable instance tells.
 std::set<std::string>
-behind(const OperatorAccess& access, const std::string& secret,
-       std::uint64_t revision)
+members_behind(const OperatorAccess& access, const std::string& secret,
+               std::uint64_t revision)
 {
     std::set<std::string> result;
-    const Json::Value status = ask_instance(access.instance, secret, "/status");
+    const Json::Value status =
+        fetch_from_instance(access.instance, secret, "/status");
     for (const Json::Value& member : status["members"]) {
         const std::string state = json_string(member, "state");
         if (state == "dead" || state == "leaving")
             continue;
         const std::string address = json_string(member, "address");
         try {
-            const Json::Value own = ask_instance(address, secret, "/status");
+            const Json::Value own =
+                fetch_from_instance(address, secret, "/status");
             if (json_uint64(own, "revision") < revision)
                 result.insert(address);
         } catch (const Error&) {
@@ -145,20 +147,20 @@
 }
 
 void
-wait_in_force(const TemplateOptions& options, std::uint64_t revision)
+wait_until_in_force(const TemplateOptions& options, std::uint64_t revision)
 {
     const std::string secret = read_secret(options.access.secret_file);
-    const TimePoint last =
+    const TimePoint deadline =
         monotonic_now() + std::chrono::seconds(options.wait_seconds);
     std::set<std::string> missing;
     do {
-        missing = behind(options.access, secret, revision);
+        missing = members_behind(options.access, secret, revision);
         if (missing.empty()) {
             std::printf("in force everywhere\n");
             return;
         }
-        std::this_thread::sleep_for(look_step);
-    } while (monotonic_now() < last);
+        std::this_thread::sleep_for(poll_interval);
+    } while (monotonic_now() < deadline);
     std::string names;
     for (const std::string& name : missing)
         names += " " + name;
@@ -172,7 +174,7 @@
     check_templates(set);
     if (options.wait && options.access.instance.empty())
         throw Error(ErrorCode::SettingsInvalid, "--wait needs --instance");
-    PlatformHttp platform = platform_of(options);
+    PlatformHttp platform = platform_client(options);
     const HeadRecord base = read_head(platform);
     if (options.base_revision != 0 &&
         base.head.revision != options.base_revision)
@@ -191,13 +193,13 @@
     std::fflush(stdout);
     remove_old_parts(platform, head, base.head);
     if (options.wait)
-        wait_in_force(options, head.revision);
+        wait_until_in_force(options, head.revision);
 }
 
 void
 show(const TemplateOptions& options)
 {
-    PlatformHttp platform = platform_of(options);
+    PlatformHttp platform = platform_client(options);
     const HeadRecord base = read_head(platform);
     Json::Value value;
     value["revision"] = Json::UInt64(base.head.revision);
@@ -210,7 +212,7 @@
 void
 history(const TemplateOptions& options)
 {
-    PlatformHttp platform = platform_of(options);
+    PlatformHttp platform = platform_client(options);
     for (const ConfigurationChange& change : read_head(platform).head.history)
         std::printf("%llu  %llu  %s  %s\n",
                     static_cast<unsigned long long>(change.revision),
@@ -219,67 +221,71 @@
 }
 
 void
-add_directory(CLI::App& verb, TemplateOptions& options)
+add_directory_argument(CLI::App& command, TemplateOptions& options)
 {
-    verb.add_option("directory", options.directory,
+    command
+        .add_option("directory", options.directory,
                     "Directory of *.json declarations")
         ->required();
 }
 
 void
-add_platform(CLI::App& verb, TemplateOptions& options)
+add_platform_option(CLI::App& command, TemplateOptions& options)
 {
-    verb.add_option("--platform", options.platform,
+    command
+        .add_option("--platform", options.platform,
                     "Address of the platform's service")
         ->envname("CROSSLINK_PLATFORM")
         ->required();
 }
 
 void
-add_apply(CLI::App& parent, const std::shared_ptr<TemplateOptions>& options)
+add_apply_command(CLI::App& parent,
+                  const std::shared_ptr<TemplateOptions>& options)
 {
-    CLI::App& verb =
+    CLI::App& command =
         *parent.add_subcommand("apply", "Put the declarations in force");
-    add_directory(verb, *options);
-    add_platform(verb, *options);
-    verb.add_option("--author", options->author, "Who applies it");
-    verb.add_option("--base-revision", options->base_revision,
-                    "Revision that the change was worked out from");
-    verb.add_flag("--wait", options->wait,
-                  "Return when it is in force everywhere");
-    verb.add_option("--wait-seconds", options->wait_seconds,
+    add_directory_argument(command, *options);
+    add_platform_option(command, *options);
+    command.add_option("--author", options->author, "Who applies it");
+    command.add_option("--base-revision", options->base_revision,
+                       "Revision that the change was worked out from");
+    command.add_flag("--wait", options->wait,
+                     "Return when it is in force everywhere");
+    command
+        .add_option("--wait-seconds", options->wait_seconds,
                     "Longest wait (1 to 3600)")
         ->check(CLI::Range(1, 3600));
-    add_access_options(verb, options->access, false);
-    verb.final_callback([options] { apply(*options); });
+    add_access_options(command, options->access, false);
+    command.final_callback([options] { apply(*options); });
 }
 
 } // namespace
 
 void
-add_template_verb(CLI::App& tool)
+add_template_command(CLI::App& tool)
 {
-    CLI::App& verb =
+    CLI::App& command =
         *tool.add_subcommand("template", "Work with the declarations");
-    verb.require_subcommand(1);
+    command.require_subcommand(1);
     const auto options = std::make_shared<TemplateOptions>();
-    CLI::App& check_verb = *verb.add_subcommand("check", "Find mistakes");
-    add_directory(check_verb, *options);
-    check_verb.final_callback([options] { check(*options); });
-    CLI::App& diff_verb =
-        *verb.add_subcommand("diff", "Show what an apply would change");
-    add_directory(diff_verb, *options);
-    add_platform(diff_verb, *options);
-    diff_verb.final_callback([options] { diff(*options); });
-    add_apply(verb, options);
-    CLI::App& show_verb =
-        *verb.add_subcommand("show", "Print what is in place");
-    add_platform(show_verb, *options);
-    show_verb.final_callback([options] { show(*options); });
-    CLI::App& history_verb =
-        *verb.add_subcommand("history", "List the latest changes");
-    add_platform(history_verb, *options);
-    history_verb.final_callback([options] { history(*options); });
+    CLI::App& check_command = *command.add_subcommand("check", "Find mistakes");
+    add_directory_argument(check_command, *options);
+    check_command.final_callback([options] { check(*options); });
+    CLI::App& diff_command =
+        *command.add_subcommand("diff", "Show what an apply would change");
+    add_directory_argument(diff_command, *options);
+    add_platform_option(diff_command, *options);
+    diff_command.final_callback([options] { diff(*options); });
+    add_apply_command(command, options);
+    CLI::App& show_command =
+        *command.add_subcommand("show", "Print what is in place");
+    add_platform_option(show_command, *options);
+    show_command.final_callback([options] { show(*options); });
+    CLI::App& history_command =
+        *command.add_subcommand("history", "List the latest changes");
+    add_platform_option(history_command, *options);
+    history_command.final_callback([options] { history(*options); });
 }
 
 } // namespace crosslink
--- a/src/crosslink/verbs.h
+++ b/src/crosslink/verbs.h
@@ -14,17 +14,17 @@
 /// Exit codes of the tool.
 enum ExitCode {
     ExitOk = 0,
-    ExitMistakes = 1,    ///< Wrong settings or templates.
+    ExitInvalid = 1,     ///< Invalid settings or templates.
     ExitUnreachable = 2, ///< Platform or instance can't be reached.
     ExitConflict = 3,    ///< Another operator was faster.
     ExitNotInForce = 4,  ///< Applied, but not seen in force everywhere.
 };
 
-/// Each adds one verb to `tool`. Verbs throw Error.
-void add_serve_verb(CLI::App& tool);
-void add_template_verb(CLI::App& tool);
-void add_status_verb(CLI::App& tool);
-void add_report_verb(CLI::App& tool);
-void add_version_verb(CLI::App& tool);
+/// Each function adds one subcommand to `tool`. Subcommands throw Error.
+void add_serve_command(CLI::App& tool);
+void add_template_command(CLI::App& tool);
+void add_status_command(CLI::App& tool);
+void add_report_command(CLI::App& tool);
+void add_version_command(CLI::App& tool);
 
 } // namespace crosslink
