--- a/src/crosslink/main.cpp
+++ b/src/crosslink/main.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-/// The one shipped program: an entry instance, and the operators' verbs.
+/// The crosslink program: runs an entry instance, and has the subcommands for
+/// operators.
 
 #include "verbs.h"
 
--- a/src/crosslink/operator_client.h
+++ b/src/crosslink/operator_client.h
@@ -16,7 +16,7 @@
 namespace crosslink
 {
 
-/// How an operator's verb reaches the instances.
+/// How an operator's subcommand reaches the instances.
 struct OperatorAccess {
     std::string instance;    ///< Peer address of any entry instance.
     std::string secret_file; ///< File with the secret that instances share.
--- a/src/crosslink/report_verb.cpp
+++ b/src/crosslink/report_verb.cpp
@@ -26,13 +26,15 @@
     std::string html;
 };
 
-/// What the whole fleet tells.
+/// The merged reports of all live instances.
 struct FleetReport {
     Json::Value rows;
     Json::Value links;
 };
 
-/// Asks every live instance that `access.instance` knows, and adds up.
+/// Fetches and merges the reports of every live instance that
+/// `access.instance` lists. Instances that can't be reached are left out and
+/// printed to standard error.
 FleetReport
 fetch_fleet_report(const OperatorAccess& access)
 {
@@ -87,7 +89,8 @@
     const auto options = std::make_shared<ReportOptions>();
     add_access_options(command, options->access, true);
     command.add_flag("--json", options->json, "Print JSON");
-    command.add_option("--html", options->html, "Write one HTML page there");
+    command.add_option("--html", options->html,
+                       "Write an HTML page to this file");
     command.final_callback([options] { show_report(*options); });
 }
 
--- a/src/crosslink/template_files.h
+++ b/src/crosslink/template_files.h
@@ -10,11 +10,12 @@
 namespace crosslink
 {
 
-/// Reads every *.json file of `directory`. A file that is no JSON becomes a
-/// mistake of the set.
+/// Reads every *.json file in `directory`. A file that is not valid JSON adds a
+/// mistake to the set. Throws Error(TemplateInvalid) if there is none or
+/// `directory` can't be read.
 TemplateSet read_templates(const std::string& directory);
-/// Prints the mistakes, one a line, and throws Error(TemplateInvalid) where
-/// there are any.
+/// Prints the mistakes of `set` to standard error, one per line, and throws
+/// Error(TemplateInvalid) if there are any.
 void check_templates(TemplateSet& set);
 
 } // namespace crosslink
--- a/src/crosslink/template_verb.cpp
+++ b/src/crosslink/template_verb.cpp
@@ -46,9 +46,10 @@
     return PlatformHttp(options.platform, {connect, receive});
 }
 
-/// Returns the declarations that a set of parts holds, by kind and name.
+/// Declarations by "kind/name".
 using Declarations = std::map<std::string, Json::Value>;
 
+/// Returns the declarations in the JSON texts of `parts`.
 Declarations
 declarations_of(const std::map<std::string, std::string>& parts)
 {
@@ -77,7 +78,8 @@
     return parts;
 }
 
-/// Prints what changes from `before` to `after`; returns the number of it.
+/// Prints the declarations that differ between `before` and `after`, and
+/// returns their number.
 std::size_t
 print_changes(const Declarations& before, const Declarations& after)
 {
@@ -120,8 +122,8 @@
                 static_cast<unsigned long long>(base.head.revision));
 }
 
-/// Returns the live members that do not have `revision` in force, as one
-/// reachable instance tells.
+/// Returns the addresses of the live members that do not have `revision` in
+/// force or can't be reached. `access.instance` supplies the list of members.
 std::set<std::string>
 members_behind(const OperatorAccess& access, const std::string& secret,
                std::uint64_t revision)
@@ -247,9 +249,9 @@
         *parent.add_subcommand("apply", "Put the declarations in force");
     add_directory_argument(command, *options);
     add_platform_option(command, *options);
-    command.add_option("--author", options->author, "Who applies it");
+    command.add_option("--author", options->author, "Author of the change");
     command.add_option("--base-revision", options->base_revision,
-                       "Revision that the change was worked out from");
+                       "Revision that the change is based on");
     command.add_flag("--wait", options->wait,
                      "Return when it is in force everywhere");
     command
--- a/src/crosslink/verbs.h
+++ b/src/crosslink/verbs.h
@@ -11,13 +11,13 @@
 namespace crosslink
 {
 
-/// Exit codes of the tool.
+/// Exit codes of the command line tool.
 enum ExitCode {
     ExitOk = 0,
     ExitInvalid = 1,     ///< Invalid settings or templates.
     ExitUnreachable = 2, ///< Platform or instance can't be reached.
-    ExitConflict = 3,    ///< Another operator was faster.
-    ExitNotInForce = 4,  ///< Applied, but not seen in force everywhere.
+    ExitConflict = 3,    ///< Another operator's change came first.
+    ExitNotInForce = 4,  ///< Applied, but not in force everywhere in time.
 };
 
 /// Each function adds one subcommand to `tool`. Subcommands throw Error.
