--- a/src/include/crosslink/ports/fleet_feed.h
+++ b/src/include/crosslink/ports/fleet_feed.h
@@ -97,9 +97,9 @@
 
     /// Returns a snapshot of all current entries.
     virtual ChangePage read() = 0;
-    /// Waits up to `longest` for changes after the revision `place`. Returns a
+    /// Waits up to `longest` for changes after `revision`. Returns a
     /// snapshot if the platform no longer has these changes.
-    virtual ChangePage wait(std::uint64_t place, Micros longest) = 0;
+    virtual ChangePage wait(std::uint64_t revision, Micros longest) = 0;
     /// Decodes the entries of `page`, in their order. Skips entries that are of
     /// no use here or can't be decoded, and logs the latter.
     virtual std::vector<FleetChange> decode(const ChangePage& page) const = 0;
