--- a/src/crosslink/main.cpp
+++ b/src/crosslink/main.cpp
@@ -4,7 +4,7 @@
 /// The crosslink program: runs an entry instance, and has the subcommands for
 /// operators.
 
-#include "verbs.h"
+#include "commands.h"
 
 #include <platform/front_verb.h>
 
--- a/src/crosslink/report_verb.cpp
+++ b/src/crosslink/report_command.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
+#include "commands.h"
 #include "operator_client.h"
-#include "verbs.h"
 
 #include <crosslink/base/error.h>
 #include <crosslink/report/burn_report.h>
--- a/src/crosslink/serve_verb.cpp
+++ b/src/crosslink/serve_command.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
-#include "verbs.h"
+#include "commands.h"
 
 #include <serve/entry_instance.h>
 #include <serve/logs.h>
--- a/src/crosslink/template_verb.cpp
+++ b/src/crosslink/template_command.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright Contributors to the crosslink project.
 
+#include "commands.h"
 #include "operator_client.h"
 #include "template_files.h"
-#include "verbs.h"
 
 #include <adapters/clock.h>
 #include <adapters/platform_http.h>
