--- a/src/crosslink/template_command.cpp
+++ b/src/crosslink/template_command.cpp
@@ -251,7 +251,7 @@
     add_platform_option(command, *options);
     command.add_option("--author", options->author, "Author of the change");
     command.add_option("--base-revision", options->base_revision,
-                       "Revision that the change is based on");
+                       "Revision that the change starts from");
     command.add_flag("--wait", options->wait,
                      "Return when it is in force everywhere");
     command
