--- a/src/serve/fleet/change_applier.h
+++ b/src/serve/fleet/change_applier.h
@@ -28,7 +28,7 @@
     ChangeApplier(ForwardState& state, bool is_snapshot,
                   std::optional<TimePoint> lapsed_until);
 
-    void operator()(const MapNamed& change);
+    void operator()(const ServiceMapChanged& change);
     void operator()(const WeightsNamed& change);
     void operator()(const WeightsRecorded& change);
     void operator()(const RolloutMarked& change);
--- a/src/serve/forward/call_prompt.cpp
+++ b/src/serve/forward/call_prompt.cpp
@@ -99,7 +99,7 @@
 
 void
 CallPrompt::locate_parts(const KeptSpace& space, std::string_view zone,
-                         Micros time_left, SendTerms& terms)
+                         Micros time_left, SendOptions& terms)
 {
     m_zone = zone;
     const auto parts = m_call.generation->shared_parts();
@@ -123,7 +123,7 @@
 /// Counts the parts that are fetched, saved and read, and sets the time by
 /// which the fetches must end.
 void
-CallPrompt::apply_places(const KeptAnswer& answer, SendTerms& terms)
+CallPrompt::apply_places(const KeptAnswer& answer, SendOptions& terms)
 {
     const auto parts = m_call.generation->shared_parts();
     const auto patience = std::chrono::duration_cast<std::chrono::milliseconds>(
--- a/src/serve/forward/call_prompt.h
+++ b/src/serve/forward/call_prompt.h
@@ -40,7 +40,7 @@
     /// adds to `terms` what the runner in `zone` is to do with each part. The
     /// call must be a generation that ends within `time_left`.
     void locate_parts(const KeptSpace& space, std::string_view zone,
-                      Micros time_left, SendTerms& terms);
+                      Micros time_left, SendOptions& terms);
     /// Records that the call is sent at `now` to a runner that is expected to
     /// start on it after `runner_wait`.
     void note_sent(TimePoint now, Micros runner_wait);
@@ -64,7 +64,7 @@
     std::string summary() const;
 
 private:
-    void apply_places(const KeptAnswer& answer, SendTerms& terms);
+    void apply_places(const KeptAnswer& answer, SendOptions& terms);
     bool fetches_all() const;
     const std::string& store_of_largest() const;
 
--- a/src/serve/forward/forward_answer.cpp
+++ b/src/serve/forward/forward_answer.cpp
@@ -57,7 +57,7 @@
 
 /// Sends the call to the chosen runner and relays its answer.
 ForwardRun::Outcome
-ForwardRun::exchange(CallerLink& link, const SendTerms& terms)
+ForwardRun::exchange(CallerLink& link, const SendOptions& terms)
 {
     m_connection->watch(link.socket(), m_deadline);
     try {
@@ -73,7 +73,7 @@
 }
 
 ForwardRun::Outcome
-ForwardRun::send_and_relay(CallerLink& link, const SendTerms& terms)
+ForwardRun::send_and_relay(CallerLink& link, const SendOptions& terms)
 {
     m_connection->send(m_state.ports.wire.encode_call(m_call, terms),
                        m_call.body);
@@ -194,7 +194,7 @@
     if (promises_not_run(head.status))
         return Outcome::Broken;
     const bool success = is_success(head.status);
-    if (success && (!head.genuine || head.encoded))
+    if (success && (!head.has_signature || head.encoded))
         return Outcome::Broken;
     if (success && head.event_stream)
         return relay_events(link, head);
@@ -230,7 +230,8 @@
     if (!m_connection->whole())
         return Outcome::Broken;
     keep_connection(head);
-    m_answered_failure = head.status >= first_server_error && head.genuine;
+    m_answered_failure =
+        head.status >= first_server_error && head.has_signature;
     if (retries_failed()) {
         m_failed_answer = {head, std::move(body)};
         return Outcome::Failed;
--- a/src/serve/forward/forward_ports.h
+++ b/src/serve/forward/forward_ports.h
@@ -10,8 +10,8 @@
 class DutyRegistry;
 class FleetFeed;
 class KeptStores;
-class RequestBook;
-class RolloutBook;
+class BlockedRequestRegistry;
+class RolloutRegistry;
 class RunnerOrders;
 
 /// The interfaces to the platform, the runners and the stores that an instance
@@ -20,8 +20,8 @@
     const CallWire& wire;
     FleetFeed& feed;
     DutyRegistry& duties;
-    RolloutBook& rollouts;
-    RequestBook& blocked;
+    RolloutRegistry& rollouts;
+    BlockedRequestRegistry& blocked;
     RunnerOrders& orders;
     KeptStores& stores;
 };
