--- a/src/serve/forward/forward_end.cpp
+++ b/src/serve/forward/forward_end.cpp
@@ -106,7 +106,7 @@
 ForwardRun::fail(Outcome outcome)
 {
     if (m_runs > 0)
-        throw Error(ErrorCode::UpstreamFailed, "the answer is incomplete",
+        throw Error(ErrorCode::UpstreamFailed, "the answer broke off",
                     RunState::MayHaveRun);
     switch (outcome) {
     case Outcome::TimedOut:
@@ -121,7 +121,7 @@
             fail_limited();
         throw Error(ErrorCode::NoUpstream,
                     m_next_available.backoff_ends_at
-                        ? "runners asked for a backoff"
+                        ? "runners asked to back off"
                         : "no runner accepts calls",
                     RunState::NotDispatched, retry_time());
     }
--- a/src/serve/forward/forward_path.cpp
+++ b/src/serve/forward/forward_path.cpp
@@ -84,7 +84,7 @@
 ForwardPath::forward(const ForwardedCall& call, CallerLink& link)
 {
     if (m_state.refusing)
-        throw Error(ErrorCode::NotReady, "this instance is shutting down",
+        throw Error(ErrorCode::NotReady, "this instance stops",
                     RunState::NotDispatched, stopping_retry_time);
     await_configuration();
     // The call uses one version of the configuration from start to end. A
