--- a/src/build-scripts/mutate.py
+++ b/src/build-scripts/mutate.py
@@ -19,7 +19,8 @@
 # texts each where it takes two edits
 MUTATIONS = [
     ("put no end down to a request", "src/serve/forward/crash_watch.cpp",
-     "if (fate == ProcessFate::Ended)", "if (false)",
+     "if (fate == ProcessFate::Ended || known)",
+     "if (false && (fate == ProcessFate::Ended || known))",
      "platform.few_runners"),
     ("tell no other instance of ends", "src/serve/fleet/exchange_duty.cpp",
      "request.crashes = m_state.crash_updates(now);", "",
@@ -116,9 +117,11 @@
      "unit.*an account"),
     ("keep the limit of a process that is gone",
      "src/libcrosslink/forward/runner_table.cpp",
-     ("const SendWindow sends = entry.sends;", "entry.sends = sends;"),
-     ("const auto sends = entry.sends; const auto limit = entry.limit;",
-      "entry.sends = sends; entry.limit = limit;"),
+     ("const bool starts_anew = ",
+      "entry.notices = m_unlisted.take({listed.id, listed.start_ms});"),
+     ("const auto limit = entry.notices.limit; const bool starts_anew = ",
+      "{ entry.notices = m_unlisted.take({listed.id, listed.start_ms});"
+      " if (starts_anew) entry.notices.limit = limit; }"),
      "unit.*new process"),
     ("send a prompt to a fourth engine", "src/serve/completion_run.cpp",
      "if (m_crashes.blocked())", "if (false)",
