--- a/src/build-scripts/mutate.py
+++ b/src/build-scripts/mutate.py
@@ -89,7 +89,7 @@
      "matrix.dispatch.upstream-backs-off"),
     ("let runners that may be ending look cheap",
      "src/libcrosslink/forward/runner_choosing.cpp",
-     "if (query.spares_ending && ", "if (false && ", "unit.*broke a conn"),
+     "if (query.avoids_exiting && ", "if (false && ", "unit.*broke a conn"),
     ("pass over what runners name as limits",
      "src/libcrosslink/forward/advertised_limit.cpp",
      "if (known != m_change)", "if (true)",
--- a/src/include/crosslink/forward/advertised_limit.h
+++ b/src/include/crosslink/forward/advertised_limit.h
@@ -18,7 +18,7 @@
     std::uint64_t start_ms = 0;        ///< Its incarnation.
     double per_second = no_rate_limit; ///< See AnswerHead::rate_limit.
     std::uint64_t change = 0;          ///< See AdvertisedLimit.
-    std::uint64_t heard = 0;           ///< AdvertisedLimit::confirmations().
+    std::uint64_t confirmations = 0;   ///< AdvertisedLimit::confirmations().
 };
 
 /// The number of calls a second that a runner accepts from all instances
--- a/src/include/crosslink/forward/crash_history.h
+++ b/src/include/crosslink/forward/crash_history.h
@@ -117,9 +117,9 @@
     bool empty() const { return m_requests.empty(); }
 
     /// Returns what was learned recently, to be reported to other instances.
-    CrashUpdate news(TimePoint now) const;
+    CrashUpdate update(TimePoint now) const;
     /// Merges what another instance reported as of `as_of`.
-    void take(const CrashUpdate& update, TimePoint as_of, TimePoint now);
+    void merge(const CrashUpdate& update, TimePoint as_of, TimePoint now);
 
     /// Records that the platform has a record of a request as blocked.
     void recorded(std::string_view request, TimePoint now);
@@ -182,7 +182,7 @@
     std::map<std::string, TimePoint, std::less<>> m_answers;
     std::deque<std::string> m_answer_order;
     /// Time until which there may be something to report. Usually there is
-    /// nothing, and news() is called up to 200 times a second.
+    /// nothing, and update() is called up to 200 times a second.
     TimePoint m_report_until{};
 };
 
--- a/src/include/crosslink/forward/load_aggregator.h
+++ b/src/include/crosslink/forward/load_aggregator.h
@@ -32,8 +32,9 @@
 {
 public:
     /// Replaces the load that `instance` reported.
-    void told(std::string_view instance,
-              const std::map<std::string, RunnerLoad>& own, TimePoint now);
+    void record_report(std::string_view instance,
+                       const std::map<std::string, RunnerLoad>& own,
+                       TimePoint now);
     /// Returns the sum of what all other instances reported recently, by
     /// runner.
     std::map<std::string, RunnerLoad> others(std::string_view instance,
--- a/src/include/crosslink/forward/runner_query.h
+++ b/src/include/crosslink/forward/runner_query.h
@@ -55,10 +55,11 @@
     std::string_view instance; ///< Name of this one.
     WarmUpTerms warm_up;
     /// The call's account is above its fair share of the limited runners.
-    bool account_ahead = false;
-    /// Whether runners that may be ending are ranked after the others. False if
-    /// the call itself may end runners: avoiding those would cost healthy ones.
-    bool spares_ending = true;
+    bool account_above_share = false;
+    /// Whether runners whose process may be ending are ranked after the others.
+    /// False if the call itself may end runners: avoiding those would cost
+    /// healthy ones.
+    bool avoids_exiting = true;
     std::size_t instances = 1; ///< Size of the fleet.
     std::uint64_t random = 0;  ///< Random bits.
     TimePoint now{};
--- a/src/include/crosslink/forward/runner_table.h
+++ b/src/include/crosslink/forward/runner_table.h
@@ -130,11 +130,11 @@
     /// Applies the limit that a runner advertises in an answer to a call that
     /// was sent when `known` changes of it were known. Returns whether it
     /// changed.
-    bool limit_answered(const RunnerIncarnation& runner, double per_second,
-                        std::uint64_t known, TimePoint now);
+    bool apply_limit_answer(const RunnerIncarnation& runner, double per_second,
+                            std::uint64_t known, TimePoint now);
     /// Merges another instance's report of a runner's limit. Returns whether
     /// the limit changed.
-    bool limit_told(const LimitUpdate& update, TimePoint now);
+    bool merge_limit(const LimitUpdate& update, TimePoint now);
     /// Returns the limits to report to other instances.
     std::vector<LimitUpdate> limit_updates(TimePoint now) const;
     /// Returns how many runners have a limit in force.
@@ -156,8 +156,8 @@
     std::map<std::string, RunnerLoad> own_load() const;
     /// Sets the load that all other instances put on each runner, as of
     /// `as_of`.
-    void others_told(const std::map<std::string, RunnerLoad>& load,
-                     TimePoint as_of);
+    void set_remote_load(const std::map<std::string, RunnerLoad>& load,
+                         TimePoint as_of);
 
     const Entries& entries() const { return m_entries; }
 
--- a/src/include/crosslink/ports/call_wire.h
+++ b/src/include/crosslink/ports/call_wire.h
@@ -90,7 +90,7 @@
     virtual ForwardedCall decode_call(const CallHead& head) const = 0;
     /// Encodes a call for a runner.
     virtual OutgoingCall encode_call(const ForwardedCall& call,
-                                     const SendOptions& terms) const = 0;
+                                     const SendOptions& options) const = 0;
     /// Decodes the head of a runner's answer.
     virtual AnswerHead
     decode_answer(int status, std::span<const HeaderField> headers) const = 0;
--- a/src/libcrosslink/forward/advertised_limit.cpp
+++ b/src/libcrosslink/forward/advertised_limit.cpp
@@ -38,8 +38,8 @@
     const bool is_newer = update.change > m_change;
     const bool is_lower =
         update.change == m_change && update.per_second < m_per_second;
-    if (update.heard > m_confirmations) {
-        m_confirmations = update.heard;
+    if (update.confirmations > m_confirmations) {
+        m_confirmations = update.confirmations;
         m_confirmed_at = now;
     }
     if (!is_newer && !is_lower)
--- a/src/libcrosslink/forward/crash_history.cpp
+++ b/src/libcrosslink/forward/crash_history.cpp
@@ -233,7 +233,7 @@
 }
 
 CrashUpdate
-CrashHistory::news(TimePoint now) const
+CrashHistory::update(TimePoint now) const
 {
     CrashUpdate update;
     if (now >= m_report_until)
@@ -260,7 +260,7 @@
 }
 
 void
-CrashHistory::take(const CrashUpdate& update, TimePoint as_of, TimePoint now)
+CrashHistory::merge(const CrashUpdate& update, TimePoint as_of, TimePoint now)
 {
     for (const CrashUpdate::Broken& call : update.broken)
         ended({call.request, call.runner, call.start_ms, call.again,
--- a/src/libcrosslink/forward/crash_history_test.cpp
+++ b/src/libcrosslink/forward/crash_history_test.cpp
@@ -91,10 +91,10 @@
     CrashHistory history;
     history.answered(request, at(2000), at(2000));
     CHECK(history.empty());
-    CHECK(history.news(at(2000)).answered.empty());
-    history.take(ended_in_turn(3).news(at(1100)), at(1100), at(2100));
+    CHECK(history.update(at(2000)).answered.empty());
+    history.merge(ended_in_turn(3).update(at(1100)), at(1100), at(2100));
     CHECK_FALSE(history.blocked(request, at(2100)));
-    CHECK(history.news(at(2100)).answered.size() == 1);
+    CHECK(history.update(at(2100)).answered.size() == 1);
     // Answers without a reported end are forgotten one by one.
     for (std::size_t i = 0; i < 2 * CrashHistory::most_answers; ++i)
         history.answered("other-" + std::to_string(i), at(2000), at(2200));
@@ -120,29 +120,29 @@
 {
     const CrashHistory seen = ended_in_turn(3);
     CrashHistory other;
-    other.take(seen.news(at(1200)), at(1210), at(1230));
+    other.merge(seen.update(at(1200)), at(1210), at(1230));
     CHECK(other.blocked(request, at(1230)));
     CHECK(other.ends(request) == 3);
     // The other instance passes it on, and what comes back is nothing new.
     CrashHistory third;
-    third.take(other.news(at(1300)), at(1310), at(1330));
+    third.merge(other.update(at(1300)), at(1310), at(1330));
     CHECK(third.blocked(request, at(1330)));
-    other.take(third.news(at(1400)), at(1410), at(1430));
+    other.merge(third.update(at(1400)), at(1410), at(1430));
     CHECK(other.ends(request) == 3);
     // Reporting stops after a while, sooner for a single end.
-    CHECK_FALSE(seen.news(at(5000)).broken.empty());
-    CHECK(seen.news(at(20'000)).broken.empty());
-    CHECK_FALSE(ended_in_turn(1).news(at(2000)).broken.empty());
-    CHECK(ended_in_turn(1).news(at(5000)).broken.empty());
+    CHECK_FALSE(seen.update(at(5000)).broken.empty());
+    CHECK(seen.update(at(20'000)).broken.empty());
+    CHECK_FALSE(ended_in_turn(1).update(at(2000)).broken.empty());
+    CHECK(ended_in_turn(1).update(at(5000)).broken.empty());
 }
 
 TEST_CASE("an answer is told to others as well")
 {
     CrashHistory seen = ended_in_turn(3);
     CrashHistory other;
-    other.take(seen.news(at(1200)), at(1200), at(1200));
+    other.merge(seen.update(at(1200)), at(1200), at(1200));
     seen.answered(request, at(1300), at(1300));
-    other.take(seen.news(at(1400)), at(1400), at(1400));
+    other.merge(seen.update(at(1400)), at(1400), at(1400));
     CHECK_FALSE(other.blocked(request, at(1400)));
 }
 
@@ -158,7 +158,7 @@
     CHECK(history.to_record(at(1200)).empty());
     CHECK(history.take_newly_blocked(at(1200)).empty());
     CrashHistory other;
-    other.take(history.news(at(1300)), at(1300), at(1300));
+    other.merge(history.update(at(1300)), at(1300), at(1300));
     CHECK(other.blocked(request, at(1300)));
     // It is released without a decision, or after an answer.
     CHECK_FALSE(history.blocked(request, at(7200)));
@@ -194,7 +194,7 @@
     const std::string last =
         "other-" + std::to_string(2 * CrashHistory::most_requests - 1);
     CHECK(history.ends(last) == 1);
-    CHECK(history.news(at(2200)).broken.size() <= 160);
+    CHECK(history.update(at(2200)).broken.size() <= 160);
 }
 
 TEST_CASE("a record of the platform blocks a request until it is removed")
--- a/src/libcrosslink/forward/load_aggregator.cpp
+++ b/src/libcrosslink/forward/load_aggregator.cpp
@@ -37,9 +37,9 @@
 }
 
 void
-LoadAggregator::told(std::string_view instance,
-                     const std::map<std::string, RunnerLoad>& own,
-                     TimePoint now)
+LoadAggregator::record_report(std::string_view instance,
+                              const std::map<std::string, RunnerLoad>& own,
+                              TimePoint now)
 {
     expire(now);
     Report& report = m_instances[std::string(instance)];
--- a/src/libcrosslink/forward/load_aggregator_test.cpp
+++ b/src/libcrosslink/forward/load_aggregator_test.cpp
@@ -20,15 +20,15 @@
         return TimePoint(std::chrono::milliseconds(millis));
     };
     LoadAggregator aggregator;
-    aggregator.told("one", {{"r", {1, 100}}}, at(0));
-    aggregator.told("two", {{"r", {2, 200}}, {"q", {1, 1}}}, at(0));
-    aggregator.told("three", {{"r", {4, 400}}}, at(10));
+    aggregator.record_report("one", {{"r", {1, 100}}}, at(0));
+    aggregator.record_report("two", {{"r", {2, 200}}, {"q", {1, 1}}}, at(0));
+    aggregator.record_report("three", {{"r", {4, 400}}}, at(10));
     const auto load = aggregator.others("one", at(20));
     CHECK(load.at("r").calls == 6);
     CHECK(load.at("r").tokens == 600);
     CHECK(load.at("q").calls == 1);
     CHECK(aggregator.others("one", at(1005)).at("r").calls == 4);
-    aggregator.told("two", {}, at(2000));
+    aggregator.record_report("two", {}, at(2000));
     CHECK(aggregator.others("one", at(2000)).empty());
 }
 
@@ -48,7 +48,7 @@
                  {static_cast<std::uint32_t>(calls), count * 100, count * 7}}};
             if (calls == 0)
                 last[name].clear();
-            aggregator.told(name, last[name], TimePoint{});
+            aggregator.record_report(name, last[name], TimePoint{});
         }
         std::map<std::string, RunnerLoad> sum;
         for (const auto& [name, load] : last)
--- a/src/libcrosslink/forward/runner_choosing.cpp
+++ b/src/libcrosslink/forward/runner_choosing.cpp
@@ -288,7 +288,7 @@
                    ? entry.sends.free_at(1, probe_interval, query.now)
                    : never;
     // Each place is offered to the other accounts first.
-    if (query.account_ahead)
+    if (query.account_above_share)
         share.window = std::chrono::duration_cast<Micros>(share.window *
                                                           over_share_factor);
     return share_free_at(entry.sends, share, reserved, query.now);
@@ -314,7 +314,7 @@
             price -= affinity_ms;
         if (is_silent(entry->listed.zone, query.now))
             price += silent_zone_ms;
-        if (query.spares_ending && connection_failed_lately(*entry, query.now))
+        if (query.avoids_exiting && connection_failed_lately(*entry, query.now))
             price += connection_failed_ms;
         if (!best || price < best_price) {
             best = entry;
--- a/src/libcrosslink/forward/runner_limit_test.cpp
+++ b/src/libcrosslink/forward/runner_limit_test.cpp
@@ -36,7 +36,7 @@
 {
     RunnerTable table = table_of({"limited", "other"});
     // 1.9 of 2 a second are given out.
-    CHECK(table.limit_answered({"limited"}, 2, 0, at(0)));
+    CHECK(table.apply_limit_answer({"limited"}, 2, 0, at(0)));
     CHECK(table.limited_count() == 1);
     int limited = 0;
     for (int ms = 0; ms < 4000; ++ms) {
@@ -51,7 +51,7 @@
 TEST_CASE("calls that wait for a limited runner have places of their own")
 {
     RunnerTable table = table_of({"r"});
-    table.limit_answered({"r"}, 2, 0, at(0));
+    table.apply_limit_answer({"r"}, 2, 0, at(0));
     CHECK(send(table, 0) == "r");
     CHECK(send(table, 10).empty());
     const NextAvailability first = table.next_available(query(10));
@@ -108,11 +108,11 @@
 TEST_CASE("a reservation is lost if the runner accepts less by then")
 {
     RunnerTable table = table_of({"r"});
-    table.limit_answered({"r"}, 2, 0, at(0));
+    table.apply_limit_answer({"r"}, 2, 0, at(0));
     CHECK(send(table, 0) == "r");
     const NextAvailability chance = table.next_available(query(10));
     table.reserve(chance.incarnation());
-    table.limit_answered({"r"}, 0.5, 1, at(100));
+    table.apply_limit_answer({"r"}, 0.5, 1, at(100));
     RunnerQuery due = query(0);
     due.now = *chance.at;
     CHECK_FALSE(table.choose_reserved(due, chance.incarnation()));
@@ -121,10 +121,10 @@
 TEST_CASE("an account that is ahead comes after the others")
 {
     RunnerTable table = table_of({"r"});
-    table.limit_answered({"r"}, 2, 0, at(0));
+    table.apply_limit_answer({"r"}, 2, 0, at(0));
     CHECK(send(table, 0) == "r");
     RunnerQuery ahead = query(600);
-    ahead.account_ahead = true;
+    ahead.account_above_share = true;
     CHECK_FALSE(table.choose(ahead));
     CHECK(table.choose(query(600)));
     // The extra wait is made up for.
@@ -137,7 +137,7 @@
 TEST_CASE("an instance without a share sends nothing, but to ask a silent one")
 {
     RunnerTable table = table_of({"r"});
-    table.limit_answered({"r"}, 2, 0, at(0));
+    table.apply_limit_answer({"r"}, 2, 0, at(0));
     RunnerQuery other = query(100);
     other.instance = "j";
     CHECK_FALSE(table.choose(other));
@@ -150,7 +150,7 @@
 TEST_CASE("a silent runner with a limit gets the next call, however dear")
 {
     RunnerTable table = table_of({"limited", "other"});
-    table.limit_answered({"limited"}, 2, 0, at(0));
+    table.apply_limit_answer({"limited"}, 2, 0, at(0));
     for (int i = 0; i < 500; ++i)
         table.sent({"limited"}, 9000, 0, at(0));
     CHECK(table.choose(query(2000))->id == "other");
@@ -160,7 +160,7 @@
 TEST_CASE("a new process of a runner has no limit of the one before")
 {
     RunnerTable table = table_of({"r"});
-    table.limit_answered({"r"}, 2, 0, at(0));
+    table.apply_limit_answer({"r"}, 2, 0, at(0));
     const auto news = table.limit_updates(at(0));
     REQUIRE(news.size() == 1);
     ListedRunner again = table.entries().at("r").listed;
@@ -168,8 +168,8 @@
     CHECK(table.put(again, at(10)));
     CHECK(table.limited_count() == 0);
     // Late reports about the previous process have no effect.
-    CHECK_FALSE(table.limit_told(news[0], at(20)));
-    CHECK_FALSE(table.limit_answered({"r", 0}, 2, 0, at(20)));
+    CHECK_FALSE(table.merge_limit(news[0], at(20)));
+    CHECK_FALSE(table.apply_limit_answer({"r", 0}, 2, 0, at(20)));
     CHECK(table.limited_count() == 0);
 }
 
@@ -177,19 +177,19 @@
 {
     RunnerTable table = table_of({"r"});
     const ListedRunner listed = table.entries().at("r").listed;
-    table.limit_answered({"r"}, 2, 0, at(0));
+    table.apply_limit_answer({"r"}, 2, 0, at(0));
     const auto news = table.limit_updates(at(0));
     table.remove("r");
     CHECK(table.limited_count() == 0);
     table.put(listed, at(100));
     CHECK(table.limited_count() == 1);
     table.sync({}, at(200));
-    CHECK(table.limit_answered({"r"}, 3, 1, at(300)));
+    CHECK(table.apply_limit_answer({"r"}, 3, 1, at(300)));
     table.put(listed, at(400));
     CHECK(table.limit_updates(at(400))[0].per_second == 3);
     // One that is reported before it is listed.
     RunnerTable other = table_of({});
-    other.limit_told(news[0], at(0));
+    other.merge_limit(news[0], at(0));
     other.put(listed, at(100));
     CHECK(other.limited_count() == 1);
 }
--- a/src/libcrosslink/forward/runner_notices_simulation_test.cpp
+++ b/src/libcrosslink/forward/runner_notices_simulation_test.cpp
@@ -150,7 +150,7 @@
                                 m_now + std::chrono::hours(1), m_now);
             break;
         case 11:
-            m_table.limit_answered(now, 0.2, 0, m_now);
+            m_table.apply_limit_answer(now, 0.2, 0, m_now);
             process.is_sound = false;
             break;
         case 12:
--- a/src/libcrosslink/forward/runner_notices_test.cpp
+++ b/src/libcrosslink/forward/runner_notices_test.cpp
@@ -39,7 +39,7 @@
 TEST_CASE("a silent limited runner that backs off, or leaves, is not asked")
 {
     RunnerTable table = table_of({"r"});
-    table.limit_answered({"r"}, 0.2, 0, at(0));
+    table.apply_limit_answer({"r"}, 0.2, 0, at(0));
     CHECK(table.choose(query(60'000)));
     table.set_backoff({"r"}, at(90'000), at(60'000));
     CHECK_FALSE(table.choose(query(89'999)));
--- a/src/libcrosslink/forward/runner_table.cpp
+++ b/src/libcrosslink/forward/runner_table.cpp
@@ -311,8 +311,9 @@
 }
 
 bool
-RunnerTable::limit_answered(const RunnerIncarnation& runner, double per_second,
-                            std::uint64_t known, TimePoint now)
+RunnerTable::apply_limit_answer(const RunnerIncarnation& runner,
+                                double per_second, std::uint64_t known,
+                                TimePoint now)
 {
     RunnerNotices* notices = notices_of(runner);
     if (!notices)
@@ -322,7 +323,7 @@
 }
 
 bool
-RunnerTable::limit_told(const LimitUpdate& update, TimePoint now)
+RunnerTable::merge_limit(const LimitUpdate& update, TimePoint now)
 {
     RunnerNotices* notices = notices_of({update.runner, update.start_ms});
     if (!notices)
@@ -398,8 +399,8 @@
 }
 
 void
-RunnerTable::others_told(const std::map<std::string, RunnerLoad>& load,
-                         TimePoint as_of)
+RunnerTable::set_remote_load(const std::map<std::string, RunnerLoad>& load,
+                             TimePoint as_of)
 {
     m_others_at = as_of;
     m_others_known = true;
--- a/src/libcrosslink/forward/runner_table_test.cpp
+++ b/src/libcrosslink/forward/runner_table_test.cpp
@@ -128,7 +128,7 @@
     RunnerTable table;
     table.put(runner("near", "a"), at(0));
     table.put(runner("far", "b"), at(0));
-    table.others_told({{"near", {3, 20'000}}}, at(0));
+    table.set_remote_load({{"near", {3, 20'000}}}, at(0));
     CHECK(chosen(table, query(100)) == "far");
     CHECK(chosen(table, query(5000)) == "near");
 }
@@ -138,7 +138,7 @@
     RunnerTable table;
     table.put(runner("near", "a"), at(0));
     table.put(runner("far", "b"), at(0));
-    table.others_told({{"near", {3, 20'000}}}, at(0));
+    table.set_remote_load({{"near", {3, 20'000}}}, at(0));
     const auto wait = [&table](int now) {
         RunnerQuery ask = query(now);
         const std::set<std::string> avoided{"far"};
@@ -190,7 +190,7 @@
     RunnerTable table;
     table.put(runner("near", "a"), at(0));
     table.put(runner("far", "b"), at(0));
-    table.others_told({{"near", {4, 0, 68'000}}}, at(0));
+    table.set_remote_load({{"near", {4, 0, 68'000}}}, at(0));
     CHECK(chosen(table, query_of(12'000, 100)) == "far");
 }
 
@@ -225,7 +225,7 @@
         }
         return count;
     };
-    table.others_told(load, at(500));
+    table.set_remote_load(load, at(500));
     const int of_many = times_chosen();
     CHECK(of_many > 0);
     CHECK(of_many < 30);
@@ -381,7 +381,7 @@
     CHECK(chosen(table, query(1999)) == "busy");
     CHECK(chosen(table, query(2001)) == "broke");
     RunnerQuery suspect = query(2);
-    suspect.spares_ending = false;
+    suspect.avoids_exiting = false;
     CHECK(chosen(table, suspect) == "broke");
     // Without an alternative it is still chosen.
     table.connection_failed("broke", at(2001));
--- a/src/libcrosslink/forward/warm_up_limit_test.cpp
+++ b/src/libcrosslink/forward/warm_up_limit_test.cpp
@@ -137,7 +137,7 @@
         for (int i = m_scenario.cold; i < m_scenario.runners; ++i)
             load["r" + std::to_string(i)] = {40, 4000, 0};
         for (RunnerTable& table : m_tables)
-            table.others_told(load, at(ms));
+            table.set_remote_load(load, at(ms));
     }
 
     /// Instances learn of the return one after the other. Before that,
--- a/src/libcrosslink/testing/played_crashes.h
+++ b/src/libcrosslink/testing/played_crashes.h
@@ -209,7 +209,7 @@
             std::uniform_real_distribution<>()(m_random) < m_play.lost;
         if (!parent || is_lost)
             return;
-        const CrashUpdate question = child.history.news(m_now);
+        const CrashUpdate question = child.history.update(m_now);
         const TimePoint asked = m_now;
         const std::size_t child_life = child.life;
         const std::size_t parent_life = m_fleet[*parent].life;
@@ -217,12 +217,12 @@
             Instance& asked_one = m_fleet[*parent];
             if (asked_one.life != parent_life)
                 return;
-            asked_one.history.take(question, m_now, m_now);
-            const CrashUpdate answer = asked_one.history.news(m_now);
+            asked_one.history.merge(question, m_now, m_now);
+            const CrashUpdate answer = asked_one.history.update(m_now);
             in(between(1, 60), [=, this] {
                 Instance& asker = m_fleet[number];
                 if (asker.life == child_life)
-                    asker.history.take(answer, asked, m_now);
+                    asker.history.merge(answer, asked, m_now);
             });
         });
     }
--- a/src/libcrosslink/testing/played_limits.h
+++ b/src/libcrosslink/testing/played_limits.h
@@ -291,7 +291,7 @@
     void take(Instance& instance, const std::vector<LimitUpdate>& news)
     {
         for (const LimitUpdate& item : news)
-            instance.table.limit_told(item, m_now);
+            instance.table.merge_limit(item, m_now);
     }
 
     /// Returns the parent that an instance asks; the first that it reaches.
@@ -346,7 +346,8 @@
         query.random = std::uniform_int_distribution<std::uint64_t>()(m_random);
         query.now = m_now;
         instance.turns.asked("s", account, m_now);
-        query.account_ahead = instance.turns.is_ahead("s", account, m_now);
+        query.account_above_share =
+            instance.turns.is_ahead("s", account, m_now);
         ++m_asked;
         const auto pick = instance.table.choose(query);
         if (!pick) {
@@ -398,8 +399,8 @@
         Instance& instance = m_fleet[number];
         if (instance.life != life)
             return;
-        instance.table.limit_answered(pick.incarnation(), named,
-                                      pick.limit_change, m_now);
+        instance.table.apply_limit_answer(pick.incarnation(), named,
+                                          pick.limit_change, m_now);
         instance.table.ended(pick.incarnation());
     }
 
--- a/src/libcrosslink/testing/played_load.h
+++ b/src/libcrosslink/testing/played_load.h
@@ -144,7 +144,8 @@
     void tell_load()
     {
         for (std::size_t i = 0; i < m_told.size(); ++i)
-            m_tables[i].others_told(without(m_told_sum, m_told[i]), m_told_at);
+            m_tables[i].set_remote_load(without(m_told_sum, m_told[i]),
+                                        m_told_at);
         m_told.clear();
         m_told_sum.clear();
         m_told_at = m_now;
--- a/src/serve/completion_run.cpp
+++ b/src/serve/completion_run.cpp
@@ -78,7 +78,7 @@
 CompletionRun::CompletionRun(InstanceState& state, RunDuties& duties,
                              const CompletionCall& call, TokenSink sink)
     : m_state(state), m_duties(duties), m_call(call), m_sink(std::move(sink)),
-      m_relay(call.version), m_crashes(state.crashes, state.breaks,
+      m_relay(call.version), m_crashes(state.crashes, state.unresolved_failures,
                                        [&call] { return digest_of(call); })
 {
 }
--- a/src/serve/coordinator/coordinator.cpp
+++ b/src/serve/coordinator/coordinator.cpp
@@ -203,7 +203,7 @@
     const TimePoint now = require_may_answer();
     ExchangeResponse response;
     response.others = m_loads.with([&](LoadAggregator& board) {
-        board.told(request.instance, request.load, now);
+        board.record_report(request.instance, request.load, now);
         return board.others(request.instance, now);
     });
     m_state.merge_peer_report(request.weights, now);
--- a/src/serve/entry_instance.cpp
+++ b/src/serve/entry_instance.cpp
@@ -50,7 +50,7 @@
       m_upstreams(m_state), m_gossip(m_state), m_configuration(m_state),
       m_peers(m_state, m_claim_handler, m_gossip, m_path.gate()),
       m_end_probe(
-          m_state.breaks, m_state.unresolved_failure_added,
+          m_state.unresolved_failures, m_state.unresolved_failure_added,
           [this](const ProbeTarget& port, const PortLook& look) {
               if (look.fate == ProcessFate::Ended)
                   m_state.engine_ended(port.address);
--- a/src/serve/fleet/change_applier.cpp
+++ b/src/serve/fleet/change_applier.cpp
@@ -145,12 +145,14 @@
     if (!gone)
         return;
     const RunnerIncarnation incarnation{gone->id, gone->start_ms};
-    m_state.breaks.with([&](UnresolvedFailures& breaks) {
-        if (is_leaving)
-            breaks.leaves(incarnation);
-        else
-            breaks.gone(incarnation, gone->zone, in_zone, monotonic_now());
-    });
+    m_state.unresolved_failures.with(
+        [&](UnresolvedFailures& unresolved_failures) {
+            if (is_leaving)
+                unresolved_failures.leaves(incarnation);
+            else
+                unresolved_failures.gone(incarnation, gone->zone, in_zone,
+                                         monotonic_now());
+        });
     m_state.unresolved_failure_added.wake();
 }
 
--- a/src/serve/fleet/exchange_duty.cpp
+++ b/src/serve/fleet/exchange_duty.cpp
@@ -132,7 +132,8 @@
     m_changes.merge_former_holders(response.holders);
     m_changes.apply_from_peer(response.changes, asked - response.changes_age);
     m_state.runners.with([&](RunnerTable& table) {
-        table.others_told(response.others, asked - response.load_age - pause());
+        table.set_remote_load(response.others,
+                              asked - response.load_age - pause());
         for (const std::string& runner : response.loading)
             table.loads(runner, now, loading_hold);
     });
--- a/src/serve/fleet/exchange_handler.cpp
+++ b/src/serve/fleet/exchange_handler.cpp
@@ -49,7 +49,7 @@
     const auto own = m_state.runners.with(
         [](RunnerTable& table) { return table.own_load(); });
     return m_children.with([&](LoadAggregator& loads) {
-        loads.told(m_state.settings.name, own, now);
+        loads.record_report(m_state.settings.name, own, now);
         return loads.sum(now);
     });
 }
@@ -83,8 +83,8 @@
     const auto own = m_state.runners.with(
         [](RunnerTable& table) { return table.own_load(); });
     const auto children = m_children.with([&](LoadAggregator& loads) {
-        loads.told(request.instance, request.load, now);
-        loads.told(m_state.settings.name, own, now);
+        loads.record_report(request.instance, request.load, now);
+        loads.record_report(m_state.settings.name, own, now);
         return loads.others(request.instance, now);
     });
     const ParentResponse stored =
--- a/src/serve/fleet/exchange_json.cpp
+++ b/src/serve/fleet/exchange_json.cpp
@@ -155,7 +155,7 @@
 }
 
 /// Groups broken calls by runner, since a runner that ends breaks some tens of
-/// calls: {"broken": [[RUNNER, BORN, AGE, DIGEST, AGAIN, DIGEST, ..]],
+/// calls: {"broken": [[RUNNER, START_MS, AGE, DIGEST, AGAIN, DIGEST, ..]],
 /// "answered": {DIGEST: AGE}, "held": {DIGEST: AGE}}, ages in microseconds.
 /// Empty members are left out; nearly always all are empty.
 Json::Value
@@ -213,8 +213,8 @@
     return update;
 }
 
-/// [RUNNER, BORN, CHANGE, HEARD, CALLS PER SECOND]; the rate is left out where
-/// the limit has ended.
+/// [RUNNER, START_MS, CHANGE, CONFIRMATIONS, PER_SECOND], the fields of
+/// LimitUpdate; the rate is left out where the limit has ended.
 Json::Value
 limit_to_json(const LimitUpdate& update)
 {
@@ -222,7 +222,7 @@
     row.append(update.runner);
     row.append(Json::UInt64(update.start_ms));
     row.append(Json::UInt64(update.change));
-    row.append(Json::UInt64(update.heard));
+    row.append(Json::UInt64(update.confirmations));
     if (update.per_second != no_rate_limit)
         row.append(update.per_second);
     return row;
@@ -240,7 +240,7 @@
             row[2].asUInt64(), row[3].asUInt64()};
 }
 
-/// [RUNNER, BORN].
+/// [RUNNER, START_MS].
 Json::Value
 leaving_to_json(const LeavingUpdate& update)
 {
--- a/src/serve/fleet/exchange_json_test.cpp
+++ b/src/serve/fleet/exchange_json_test.cpp
@@ -109,7 +109,7 @@
         CHECK(asked[i].start_ms == request.limits[i].start_ms);
         CHECK(asked[i].per_second == request.limits[i].per_second);
         CHECK(asked[i].change == request.limits[i].change);
-        CHECK(asked[i].heard == request.limits[i].heard);
+        CHECK(asked[i].confirmations == request.limits[i].confirmations);
     }
     ExchangeResponse response;
     response.limits = request.limits;
--- a/src/serve/forward/call_prompt.cpp
+++ b/src/serve/forward/call_prompt.cpp
@@ -99,13 +99,13 @@
 
 void
 CallPrompt::locate_parts(const KeptSpace& space, std::string_view zone,
-                         Micros time_left, SendOptions& terms)
+                         Micros time_left, SendOptions& options)
 {
     m_zone = zone;
     const auto parts = m_call.generation->shared_parts();
     m_places.clear();
     m_tokens_to_read = m_call.generation->prompt_tokens;
-    terms.space = space.text();
+    options.space = space.text();
     if (parts.empty())
         return;
     const KeptAnswer answer = m_kept.locate(space, parts, time_left);
@@ -115,15 +115,15 @@
         tracker.skip_slow_stores(parts, m_places, m_zone, m_objective,
                                  random_bits(), monotonic_now());
     });
-    terms.space = answer.space;
-    terms.places = m_places;
-    apply_places(answer, terms);
+    options.space = answer.space;
+    options.places = m_places;
+    apply_places(answer, options);
 }
 
 /// Counts the parts that are fetched, saved and read, and sets the time by
 /// which the fetches must end.
 void
-CallPrompt::apply_places(const KeptAnswer& answer, SendOptions& terms)
+CallPrompt::apply_places(const KeptAnswer& answer, SendOptions& options)
 {
     const auto parts = m_call.generation->shared_parts();
     const auto patience = std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -137,7 +137,7 @@
             m_tokens_to_read -=
                 std::min<std::uint64_t>(m_tokens_to_read, parts[i].tokens);
             until = std::min(until, place.until);
-            terms.fetch_until = until;
+            options.fetch_until = until;
             ++m_state.counters.parts_fetched;
             break;
         case KeptPlace::Kind::Save:
--- a/src/serve/forward/call_prompt.h
+++ b/src/serve/forward/call_prompt.h
@@ -37,10 +37,10 @@
     KeptNear fetch_estimate(const KeptSpace& space, const ServiceMap& map,
                             const EngineInfo& engine);
     /// Looks up where the KV of the shared parts is stored under `space`, and
-    /// adds to `terms` what the runner in `zone` is to do with each part. The
+    /// adds to `options` what the runner in `zone` is to do with each part. The
     /// call must be a generation that ends within `time_left`.
     void locate_parts(const KeptSpace& space, std::string_view zone,
-                      Micros time_left, SendOptions& terms);
+                      Micros time_left, SendOptions& options);
     /// Records that the call is sent at `now` to a runner that is expected to
     /// start on it after `runner_wait`.
     void note_sent(TimePoint now, Micros runner_wait);
@@ -64,7 +64,7 @@
     std::string summary() const;
 
 private:
-    void apply_places(const KeptAnswer& answer, SendOptions& terms);
+    void apply_places(const KeptAnswer& answer, SendOptions& options);
     bool fetches_all() const;
     const std::string& store_of_largest() const;
 
--- a/src/serve/forward/crash_watch.cpp
+++ b/src/serve/forward/crash_watch.cpp
@@ -17,7 +17,7 @@
 CrashWatch::CrashWatch(ForwardState& state, const ForwardedCall& call,
                        const std::string& account)
     : RequestCrashes(
-          state.crashes, state.breaks,
+          state.crashes, state.unresolved_failures,
           [&call, account] { return request_digest(call, account); }),
       m_state(state), m_call(call)
 {
@@ -66,7 +66,7 @@
 CrashWatch::note_served(const RunnerPick& runner, TimePoint sent_at)
 {
     record_answer();
-    m_state.breaks.with([&](UnresolvedFailures& failures) {
+    m_state.unresolved_failures.with([&](UnresolvedFailures& failures) {
         if (!failures.empty())
             failures.lives(runner.incarnation(), sent_at);
     });
--- a/src/serve/forward/forward_answer.cpp
+++ b/src/serve/forward/forward_answer.cpp
@@ -57,11 +57,11 @@
 
 /// Sends the call to the chosen runner and relays its answer.
 ForwardRun::Outcome
-ForwardRun::exchange(CallerLink& link, const SendOptions& terms)
+ForwardRun::exchange(CallerLink& link, const SendOptions& options)
 {
     m_connection->watch(link.socket(), m_deadline);
     try {
-        return send_and_relay(link, terms);
+        return send_and_relay(link, options);
     } catch (const Poco::Exception&) {
         const auto why =
             m_connection ? m_connection->interrupted() : std::nullopt;
@@ -73,9 +73,9 @@
 }
 
 ForwardRun::Outcome
-ForwardRun::send_and_relay(CallerLink& link, const SendOptions& terms)
+ForwardRun::send_and_relay(CallerLink& link, const SendOptions& options)
 {
-    m_connection->send(m_state.ports.wire.encode_call(m_call, terms),
+    m_connection->send(m_state.ports.wire.encode_call(m_call, options),
                        m_call.body);
     for (int i = 0; i < max_surplus_answers; ++i) {
         if (const auto ended = await_answer())
--- a/src/serve/forward/forward_run.cpp
+++ b/src/serve/forward/forward_run.cpp
@@ -106,7 +106,7 @@
 {
     if (m_crashes.blocked())
         return false;
-    m_choice.spare_exiting(!m_crashes.failed_before());
+    m_choice.avoid_exiting(!m_crashes.failed_before());
     return m_choice.choose() || wait_for_runner();
 }
 
@@ -157,7 +157,7 @@
 {
     const TimePoint useful =
         std::min(m_deadline, m_call.received_at + m_route.objective);
-    if (!m_choice.account_ahead())
+    if (!m_choice.account_above_share())
         return useful;
     const TimePoint now = monotonic_now();
     return now + (useful - now) / 2;
@@ -169,7 +169,7 @@
     bool reused = false;
     if (!connect(reused))
         return Outcome::NotSent;
-    const SendOptions sent = terms();
+    const SendOptions sent = send_options();
     note_sent();
     Outcome outcome = Outcome::Broken;
     bool silent = false;
@@ -280,23 +280,24 @@
 }
 
 SendOptions
-ForwardRun::terms()
+ForwardRun::send_options()
 {
-    SendOptions terms;
-    terms.runner = m_choice.pick().id;
-    terms.time_left = time_left();
+    SendOptions options;
+    options.runner = m_choice.pick().id;
+    options.time_left = time_left();
     if (m_account)
-        terms.account = m_account->name;
+        options.account = m_account->name;
     if (!m_call.generation)
-        return terms;
-    terms.priority = m_account && m_account->has_priority ? m_account->priority
-                                                          : m_route.priority;
-    terms.version = m_choice.pick().version;
+        return options;
+    options.priority = m_account && m_account->has_priority
+                           ? m_account->priority
+                           : m_route.priority;
+    options.version = m_choice.pick().version;
     if (const auto last = m_events.last_event())
-        terms.after_event = std::to_string(*last);
+        options.after_event = std::to_string(*last);
     m_prompt.locate_parts(m_choice.kept_space(), m_choice.pick().zone,
-                          terms.time_left, terms);
-    return terms;
+                          options.time_left, options);
+    return options;
 }
 
 void
--- a/src/serve/forward/forward_run.h
+++ b/src/serve/forward/forward_run.h
@@ -103,11 +103,11 @@
     bool may_send_again(Outcome outcome);
     bool take_retry();
     void record_outcome(Outcome outcome);
-    SendOptions terms();
+    SendOptions send_options();
     bool connect(bool& reused);
     bool note_connection_failure(const std::exception& failure);
-    Outcome exchange(CallerLink& link, const SendOptions& terms);
-    Outcome send_and_relay(CallerLink& link, const SendOptions& terms);
+    Outcome exchange(CallerLink& link, const SendOptions& options);
+    Outcome send_and_relay(CallerLink& link, const SendOptions& options);
     std::optional<Outcome> await_answer();
     bool may_be_withdrawn() const;
     Micros time_to_next_check() const;
--- a/src/serve/forward/forward_state.h
+++ b/src/serve/forward/forward_state.h
@@ -133,7 +133,7 @@
     /// Shares of client accounts at runners with limits.
     Guarded<FairShareTracker> fair_shares;
     Guarded<CrashHistory> crashes;
-    Guarded<UnresolvedFailures> breaks;
+    Guarded<UnresolvedFailures> unresolved_failures;
     /// Wakes the thread that checks ports, if it runs.
     DutyWaker unresolved_failure_added;
     Guarded<FetchDelayTracker> fetches;
--- a/src/serve/forward/forward_state_crashes.cpp
+++ b/src/serve/forward/forward_state_crashes.cpp
@@ -18,7 +18,7 @@
     if (update.empty())
         return;
     crashes.with([&](CrashHistory& history) {
-        history.take(update, as_of, monotonic_now());
+        history.merge(update, as_of, monotonic_now());
     });
     log_newly_blocked();
 }
@@ -35,7 +35,7 @@
     });
     if (leaves)
         return;
-    count_ends(breaks.with([&](UnresolvedFailures& failures) {
+    count_ends(unresolved_failures.with([&](UnresolvedFailures& failures) {
         return failures.ended(runner, monotonic_now());
     }),
                evidence);
@@ -45,7 +45,7 @@
 ForwardState::note_runner_replaced(const ListedRunner& runner)
 {
     const RunnerIncarnation incarnation{runner.id, runner.start_ms};
-    count_ends(breaks.with([&](UnresolvedFailures& failures) {
+    count_ends(unresolved_failures.with([&](UnresolvedFailures& failures) {
         if (runner.leaving)
             failures.leaves(incarnation);
         return failures.replaced_at(runner.address, incarnation,
@@ -57,7 +57,7 @@
 void
 ForwardState::note_gone_runners()
 {
-    count_ends(breaks.with([](UnresolvedFailures& failures) {
+    count_ends(unresolved_failures.with([](UnresolvedFailures& failures) {
         return failures.take_gone(monotonic_now());
     }),
                "gone");
@@ -85,7 +85,7 @@
 ForwardState::crash_updates(TimePoint now)
 {
     return crashes.with(
-        [now](const CrashHistory& history) { return history.news(now); });
+        [now](const CrashHistory& history) { return history.update(now); });
 }
 
 void
--- a/src/serve/forward/forward_state_runners.cpp
+++ b/src/serve/forward/forward_state_runners.cpp
@@ -33,7 +33,8 @@
                                 double per_second, std::uint64_t known)
 {
     const bool changed = runners.with([&](RunnerTable& table) {
-        return table.limit_answered(runner, per_second, known, monotonic_now());
+        return table.apply_limit_answer(runner, per_second, known,
+                                        monotonic_now());
     });
     if (changed)
         log_limit_change(runner.id, per_second, "answer");
@@ -44,7 +45,7 @@
 {
     for (const LimitUpdate& update : limits) {
         const bool changed = runners.with([&](RunnerTable& table) {
-            return table.limit_told(update, monotonic_now());
+            return table.merge_limit(update, monotonic_now());
         });
         if (changed)
             log_limit_change(update.runner, update.per_second, "instance");
@@ -67,7 +68,8 @@
     });
     if (!is_new)
         return;
-    breaks.with([&](UnresolvedFailures& failures) { failures.leaves(runner); });
+    unresolved_failures.with(
+        [&](UnresolvedFailures& failures) { failures.leaves(runner); });
     ++counters.runners_leaving;
     LogLine("runner_leaving")
         .field("runner", runner.id)
--- a/src/serve/forward/runner_choice.cpp
+++ b/src/serve/forward/runner_choice.cpp
@@ -173,7 +173,7 @@
     query.model = model;
     query.newest_version = m_newest;
     query.avoid = &m_excluded;
-    query.spares_ending = m_spares_exiting;
+    query.avoids_exiting = m_avoids_exiting;
     query.instance = m_state.settings.name;
     query.instances = m_state.instance_count();
     if (m_zones_allowed)
@@ -192,15 +192,15 @@
 void
 RunnerChoice::add_account(RunnerQuery& query)
 {
-    m_account_ahead = false;
+    m_account_above_share = false;
     if (m_state.counters.runners_limited == 0)
         return;
-    query.account_ahead =
+    query.account_above_share =
         m_state.fair_shares.with([&](FairShareTracker& fair_shares) {
             fair_shares.asked(m_service, account_name(), query.now);
             return fair_shares.is_ahead(m_service, account_name(), query.now);
         });
-    m_account_ahead = query.account_ahead;
+    m_account_above_share = query.account_above_share;
 }
 
 /// Adds the limit on calls to runners of the service that are warming up.
--- a/src/serve/forward/runner_choice.h
+++ b/src/serve/forward/runner_choice.h
@@ -47,8 +47,8 @@
     /// Records that the call is sent to the chosen runner at `now`; see
     /// RunnerTable::sent().
     void sent(std::uint64_t tokens, std::uint64_t resident, TimePoint now);
-    /// See RunnerQuery::spares_ending.
-    void spare_exiting(bool spares) { m_spares_exiting = spares; }
+    /// See RunnerQuery::avoids_exiting.
+    void avoid_exiting(bool avoids) { m_avoids_exiting = avoids; }
     /// Excludes the last runner from further choices.
     void exclude_last() { m_excluded.insert(m_pick.id); }
     /// Allows all runners to be chosen again.
@@ -63,7 +63,7 @@
     std::uint64_t newest_weights() const { return m_newest; }
     /// Returns whether, as of the last choice, the call's account had used more
     /// than its share of the capacity of the service's runners with limits.
-    bool account_ahead() const { return m_account_ahead; }
+    bool account_above_share() const { return m_account_above_share; }
     /// Returns the space of the KV that the chosen runner makes of the prompt.
     KeptSpace kept_space() const { return space_of(m_pick.version); }
 
@@ -97,8 +97,8 @@
     bool m_reserved = false; ///< The call is about to be sent to m_pick.
     /// The slot that is reserved for the call while it waits.
     std::optional<NextAvailability> m_reservation;
-    bool m_account_ahead = false; ///< As of the last choice.
-    bool m_spares_exiting = true;
+    bool m_account_above_share = false; ///< As of the last choice.
+    bool m_avoids_exiting = true;
     std::set<std::string> m_excluded; ///< Runners that are not chosen.
     std::uint64_t m_newest = 0;       ///< Newest weights as of the last choice.
 };
--- a/src/serve/instance_state.cpp
+++ b/src/serve/instance_state.cpp
@@ -27,9 +27,10 @@
 void
 InstanceState::engine_ended(const std::string& address)
 {
-    const auto calls = breaks.with([&address](UnresolvedFailures& open) {
-        return open.ended({address, 0}, monotonic_now());
-    });
+    const auto calls =
+        unresolved_failures.with([&address](UnresolvedFailures& open) {
+            return open.ended({address, 0}, monotonic_now());
+        });
     record_process_ends(crashes, calls);
     for (const InterruptedCall& call : calls)
         spdlog::info("engine={} ended while running digest={}", address,
--- a/src/serve/instance_state.h
+++ b/src/serve/instance_state.h
@@ -62,7 +62,8 @@
     Guarded<RetryBudgets> retry_budgets;
     /// Prompts during which engine processes ended, as observed here.
     Guarded<CrashHistory> crashes;
-    Guarded<UnresolvedFailures> breaks; ///< Not yet known if the engine ended.
+    /// Not yet known if the engine ended.
+    Guarded<UnresolvedFailures> unresolved_failures;
     DutyWaker unresolved_failure_added; ///< Wakes ProcessEndProbe, which probes
                                         ///< ports.
     Metrics metrics;
